--- a/packages/router/src/__fixtures__/createEndpoints.ts
+++ b/packages/router/src/__fixtures__/createEndpoints.ts
@@ -1,8 +1,8 @@
 /** Endpoints for tests of the systems. */
 import type { Hasher } from '@hazelwalk/core';
 import type { ListedEndpoint } from '../records.js';
-import type { ColdEndpointsOptions } from '../systems/coldEndpoints.js';
-import { ColdEndpoints } from '../systems/coldEndpoints.js';
+import type { ColdEndpointLimiterOptions } from '../systems/coldEndpointLimiter.js';
+import { ColdEndpointLimiter } from '../systems/coldEndpointLimiter.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 import { EndpointTable } from '../tables/endpointTable.js';
 
@@ -14,15 +14,15 @@
 /** Cold endpoints as the only box of the hall `a` knows them. */
 export function createColdEndpoints(
   hasher: Hasher,
-  changes: Partial<ColdEndpointsOptions> = {},
-): ColdEndpoints {
-  return new ColdEndpoints({
+  changes: Partial<ColdEndpointLimiterOptions> = {},
+): ColdEndpointLimiter {
+  return new ColdEndpointLimiter({
     hall: 'a',
     hasher,
     bound: { factor: 1.5, allowance: 5 },
     startedAtMs: -Infinity,
     readAddress: () => '10.0.0.1:1',
-    hasMetOthers: () => true,
+    hasJoinedFleet: () => true,
     listHallPeers: () => [],
     ...changes,
   });
--- a/packages/router/src/__fixtures__/createPlacement.ts
+++ b/packages/router/src/__fixtures__/createPlacement.ts
@@ -4,7 +4,7 @@
 import type { PlacementOptions, PlacementRequest } from '../systems/placement.js';
 import { Placement } from '../systems/placement.js';
 import { PromptDemand } from '../systems/promptDemand.js';
-import { PromptHomes } from '../systems/promptHomes.js';
+import { PromptHolders } from '../systems/promptHolders.js';
 import type { EndpointTable } from '../tables/endpointTable.js';
 import { createColdEndpoints } from './createEndpoints.js';
 
@@ -18,7 +18,7 @@
     hasher,
     hall: 'a',
     random: () => 0.5,
-    homes: new PromptHomes(),
+    promptHolders: new PromptHolders(),
     demand: new PromptDemand(),
     evacuations: new Evacuations(),
     cold: createColdEndpoints(hasher),
--- a/packages/router/src/__fixtures__/relayBox.ts
+++ b/packages/router/src/__fixtures__/relayBox.ts
@@ -1,10 +1,10 @@
 /** A box that spreads loads, with a mesh of its own that keeps what is sent. */
-import type { LoadKnowledge } from '../peers/loadRelay.js';
+import type { LoadViewStatus } from '../peers/loadRelay.js';
 import { LoadRelay } from '../peers/loadRelay.js';
 import type { Heartbeat, PeerFrame } from '../peers/peerFrames.js';
 import type { PeerMesh } from '../peers/peerMesh.js';
 import { PromptDemand } from '../systems/promptDemand.js';
-import { PromptHomes } from '../systems/promptHomes.js';
+import { PromptHolders } from '../systems/promptHolders.js';
 import { EndpointTable } from '../tables/endpointTable.js';
 import { createListing } from './createEndpoints.js';
 import { heartbeatOf as createHeartbeat } from './restingBox.js';
@@ -23,23 +23,23 @@
   peers: Heartbeat[] = [];
   readonly sent: { to: string; frame: PeerFrame }[] = [];
   readonly table = new EndpointTable(() => TAG);
-  readonly homes = new PromptHomes();
+  readonly homes = new PromptHolders();
   readonly demand = new PromptDemand();
   readonly relay: LoadRelay;
-  readonly knowledge: LoadKnowledge[] = [];
+  readonly knowledge: LoadViewStatus[] = [];
 
   constructor(
     readonly address: string,
-    isFlat = false,
+    isFullMesh = false,
     random: () => number = () => 0,
   ) {
     const mesh = {
       address,
-      isFlat,
-      paceMs: 300,
+      isFullMesh,
+      heartbeatIntervalMs: 300,
       countBoxes: () => this.peers.length + 1,
-      listFresh: () => this.peers.map((heartbeat) => ({ heartbeat, heardAtMs: this.nowMs })),
-      listLinked: () => this.peers,
+      listRecentlySeen: () => this.peers.map((heartbeat) => ({ heartbeat, lastSeenAtMs: this.nowMs })),
+      listReachable: () => this.peers,
       send: (to: string, frame: PeerFrame) => void this.sent.push({ to, frame }),
       sendToHall: (to: string, frame: PeerFrame) => void this.sent.push({ to, frame }),
     } as unknown as PeerMesh;
@@ -47,13 +47,13 @@
     this.relay = new LoadRelay({
       mesh,
       table: this.table,
-      homes: this.homes,
+      promptHolders: this.homes,
       demand: this.demand,
       hall: 'mixco',
       hash: (text) => Number(text),
       random,
       now: () => this.nowMs,
-      onKnowledge: (knowledge) => this.knowledge.push(knowledge),
+      onViewStatus: (knowledge) => this.knowledge.push(knowledge),
     });
   }
 
--- a/packages/router/src/__fixtures__/restingBox.ts
+++ b/packages/router/src/__fixtures__/restingBox.ts
@@ -5,7 +5,7 @@
 import { FeedRelay } from '../peers/feedRelay.js';
 import type { FeedNotice, Heartbeat, PeerFrame } from '../peers/peerFrames.js';
 import type { PeerMesh } from '../peers/peerMesh.js';
-import { PeerValues } from '../peers/peerValues.js';
+import { PeerValueSync } from '../peers/peerValueSync.js';
 import type { FleetConfiguration, ListedEndpoint } from '../records.js';
 import type { EndpointChange } from '../systems/endpointDirectory.js';
 import type { ValueSource } from '../systems/publishedState.js';
@@ -67,14 +67,14 @@
   readonly metrics = new RouterMetrics();
   readonly state: PublishedState;
   readonly relay: FeedRelay;
-  readonly values: PeerValues;
+  readonly values: PeerValueSync;
 
   /** @param readVersion reads the version that a configuration's text stands for */
   constructor(address = '10.0.0.3:1', readVersion: (text: string) => number = Number) {
     const mesh = {
       address,
       countBoxes: () => 40,
-      listLinked: () => this.linked,
+      listReachable: () => this.linked,
       send: (to: string, frame: PeerFrame) => void this.sent.push({ to, frame }),
       sendToHall: (to: string, frame: PeerFrame) => void this.sent.push({ to, frame }),
     } as unknown as PeerMesh;
@@ -90,13 +90,13 @@
       parseConfiguration: (text) => Ok(createConfiguration(readVersion(text))),
       onLimits: () => {},
       onEndpointRemoved: () => {},
-      onInformed: () => {},
+      onInitialized: () => {},
     });
     const options = { mesh, state: this.state, log, now, applyBoundMs: BOUND_MS };
-    this.values = new PeerValues(options);
+    this.values = new PeerValueSync(options);
     this.relay = new FeedRelay({
       ...options,
-      values: this.values,
+      valueSync: this.values,
       hall: 'mixco',
       linkMbps: 1_000,
       hash: rankOf,
--- a/packages/router/src/__fixtures__/virtualRouter.ts
+++ b/packages/router/src/__fixtures__/virtualRouter.ts
@@ -4,13 +4,13 @@
 import { LoadRelay } from '../peers/loadRelay.js';
 import type { Heartbeat, RouterFrame } from '../peers/peerFrames.js';
 import type { PeerMesh } from '../peers/peerMesh.js';
-import { ColdEndpoints } from '../systems/coldEndpoints.js';
+import { ColdEndpointLimiter } from '../systems/coldEndpointLimiter.js';
 import { Evacuations } from '../systems/evacuations.js';
 import { listOwnLoads } from '../systems/loadExchange.js';
 import type { LoadPath } from '../systems/placement.js';
 import { Placement } from '../systems/placement.js';
 import { PromptDemand } from '../systems/promptDemand.js';
-import { PromptHomes } from '../systems/promptHomes.js';
+import { PromptHolders } from '../systems/promptHolders.js';
 import { EndpointTable } from '../tables/endpointTable.js';
 
 /** What a box chooses and spreads loads with. */
@@ -23,29 +23,39 @@
   constructor(box: VirtualBox, mesh: PeerMesh, hasher: Hasher, now: () => number, random: () => number) {
     const { hall } = box;
     const hash = (text: string): number => hasher.h32(text);
-    const homes = new PromptHomes();
+    const homes = new PromptHolders();
     const demand = new PromptDemand();
     this.table = new EndpointTable(hash);
     const onKnowledge = (): void => {};
     const { table } = this;
-    this.relay = new LoadRelay({ mesh, table, homes, demand, hall, hash, random, now, onKnowledge });
-    const readLoadAgeMs = (): number => this.relay.readAgeMs();
-    const readLoadPath = (): LoadPath => (mesh.isFlat ? 'direct' : 'relayed');
+    this.relay = new LoadRelay({
+      mesh,
+      table,
+      promptHolders: homes,
+      demand,
+      hall,
+      hash,
+      random,
+      now,
+      onViewStatus: onKnowledge,
+    });
+    const readLoadAgeMs = (): number => this.relay.readLoadAgeMs();
+    const readLoadPath = (): LoadPath => (mesh.isFullMesh ? 'direct' : 'relayed');
     this.placement = new Placement({
       table,
       hasher,
       hall,
       random,
-      homes,
+      promptHolders: homes,
       demand,
       evacuations: this.evacuations,
       findRegion: () => undefined,
-      cold: new ColdEndpoints({
+      cold: new ColdEndpointLimiter({
         hall,
         hasher,
         bound: { factor: 1.5, allowance: 5 },
         startedAtMs: now(),
-        hasMetOthers: () => mesh.hasMetOthers,
+        hasJoinedFleet: () => mesh.hasJoinedFleet,
         readAddress: () => mesh.address,
         listHallPeers: () => mesh.listHallPeers(),
       }),
@@ -65,7 +75,7 @@
     this.relay.tick();
   }
 
-  createDemandNews(): Pick<Heartbeat, 'prompts'> {
+  createDemandReport(): Pick<Heartbeat, 'prompts'> {
     return { prompts: this.relay.takeDemandForHeartbeat() };
   }
 
--- a/packages/router/src/__fixtures__/virtualTraffic.ts
+++ b/packages/router/src/__fixtures__/virtualTraffic.ts
@@ -9,7 +9,7 @@
 import { VirtualFleet } from '../membership/__fixtures__/virtualFleet.js';
 import type { PeerMesh } from '../peers/peerMesh.js';
 import type { ListedEndpoint, PromptPart } from '../records.js';
-import { noteAnswerFacts } from '../systems/endpointNotices.js';
+import { recordAnnouncements } from '../systems/endpointNotices.js';
 import { assumeCold } from '../tables/endpointTable.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 import { AnnouncementChecker } from './announcementJudge.js';
@@ -348,7 +348,7 @@
     const isNotRun = backOffMs !== undefined;
     const facts = { requestId: 'r', isSealed: !isNotRun, isNotRun, isLeaving, backOffMs };
     const { nowMs } = this.fleet.timeline;
-    noteAnswerFacts(row, facts, nowMs);
+    recordAnnouncements(row, facts, nowMs);
     if (isLeaving) this.announcementChecker.noteLeaving(request, listing.id, nowMs);
   }
 
--- a/packages/router/src/__tests__/attempt.test.ts
+++ b/packages/router/src/__tests__/attempt.test.ts
@@ -18,7 +18,7 @@
     const options: Partial<AttemptOptions> = {
       row,
       connections,
-      findObstacle: () => undefined,
+      findAbortReason: () => undefined,
       maySend: () => maySend,
       createRequest: () => ({ requestId: 'r', method: 'GET', path: '/', headers: [], body: undefined }),
       onEvent: (_attempt, event) => events.push(event),
@@ -41,7 +41,7 @@
     const options: Partial<AttemptOptions> = {
       row,
       connections: { acquire } as unknown as EndpointConnections,
-      findObstacle: () => obstacle,
+      findAbortReason: () => obstacle,
       onEvent: (_attempt, event) => events.push(event),
     };
     await new Attempt(options as AttemptOptions).start();
--- a/packages/router/src/__tests__/coldSharing.test.ts
+++ b/packages/router/src/__tests__/coldSharing.test.ts
@@ -2,8 +2,8 @@
 import type { Hasher } from '@hazelwalk/core';
 import { createColdEndpoints, createTable } from '../__fixtures__/createEndpoints.js';
 import { askFor, createPlacement } from '../__fixtures__/createPlacement.js';
-import type { ColdEndpoints } from '../systems/coldEndpoints.js';
-import { noteReachable, noteSign } from '../systems/endpointHealth.js';
+import type { ColdEndpointLimiter } from '../systems/coldEndpointLimiter.js';
+import { markReachable, recordHealthSignal } from '../systems/endpointHealth.js';
 import { Evacuations } from '../systems/evacuations.js';
 import type { EndpointRow, EndpointTable } from '../tables/endpointTable.js';
 
@@ -23,7 +23,7 @@
 }
 
 /** Boxes of the hall `a`, each of which knows all others of it. */
-function createBoxes(count: number): ColdEndpoints[] {
+function createBoxes(count: number): ColdEndpointLimiter[] {
   const addresses = Array.from({ length: count }, (_, at) => `10.0.0.${at}:1`);
   return addresses.map((address) =>
     createColdEndpoints(hasher, {
@@ -34,9 +34,9 @@
 }
 
 /** Requests that a box may send to an endpoint at one moment. */
-function sendAll(box: ColdEndpoints, row: EndpointRow, nowMs = NOW_MS): number {
+function sendAll(box: ColdEndpointLimiter, row: EndpointRow, nowMs = NOW_MS): number {
   let sent = 0;
-  for (; box.admits(row, coldStart, nowMs); sent += 1) box.noteSent(row, nowMs);
+  for (; box.admits(row, coldStart, nowMs); sent += 1) box.recordSent(row, nowMs);
   return sent;
 }
 
@@ -65,7 +65,7 @@
 
 test.each([
   ['has just started', { startedAtMs: NOW_MS - 3_000 }],
-  ['has met nobody', { hasMetOthers: () => false }],
+  ['has met nobody', { hasJoinedFleet: () => false }],
   ['is of another hall', { hall: 'b' }],
 ])('a box that %s sends nothing to a cold endpoint, and all to a warm one', (_, changes) => {
   const [cold, warm] = createCold(2).rows;
@@ -88,7 +88,7 @@
   const request = { ...askFor('p'), coldStart };
   for (let count = 0; count < 24; count += 1) expect(placement.choose(request, NOW_MS)).toBeDefined();
   expect(placement.choose(request, NOW_MS)).toBeUndefined();
-  expect(placement.explainNone(request, NOW_MS)).toEqual({ reason: 'endpointsCold', waitMs: 0 });
+  expect(placement.explainFailure(request, NOW_MS)).toEqual({ reason: 'endpointsCold', waitMs: 0 });
 });
 
 test('with a hall emptied, that is the reason', () => {
@@ -97,7 +97,7 @@
   evacuations.apply({ type: 'ordered', hall: 'a' }, NOW_MS);
   const placement = createPlacement(hasher, table, { evacuations });
   expect(placement.choose(askFor('p'), NOW_MS)).toBeUndefined();
-  expect(placement.explainNone(askFor('p'), NOW_MS)).toEqual({ reason: 'hallsEvacuated', waitMs: 0 });
+  expect(placement.explainFailure(askFor('p'), NOW_MS)).toEqual({ reason: 'hallsEvacuated', waitMs: 0 });
 });
 
 describe('how long an endpoint is taken for cold', () => {
@@ -118,12 +118,12 @@
     const { table, rows } = createTable(2);
     const [gone, cut] = rows;
     if (gone === undefined || cut === undefined) throw new Error('no endpoints');
-    noteSign(table, gone, 'connectRefused', 1_000);
-    noteSign(table, cut, 'connectTimedOut', 1_000);
+    recordHealthSignal(table, gone, 'connectRefused', 1_000);
+    recordHealthSignal(table, cut, 'connectTimedOut', 1_000);
     // Its machine says nothing on the way back up.
-    noteSign(table, gone, 'connectTimedOut', 1_500);
-    noteReachable(gone, 2_000);
-    noteReachable(cut, 2_000);
+    recordHealthSignal(table, gone, 'connectTimedOut', 1_500);
+    markReachable(gone, 2_000);
+    markReachable(cut, 2_000);
     expect(gone.coldUntilMs).toBe(5_000);
     expect(cut.coldUntilMs).toBeLessThanOrEqual(2_000);
   });
--- a/packages/router/src/__tests__/configurationChange.test.ts
+++ b/packages/router/src/__tests__/configurationChange.test.ts
@@ -62,7 +62,7 @@
       const change = diffConfigurations(digest, before, after);
       const applied = applyConfigurationChange(digest, before, change).unwrap();
       expect(sorted(applied)).toEqual(sorted(after));
-      expect(digest.read(applied)).toBe(digest.read(after));
+      expect(digest.compute(applied)).toBe(digest.compute(after));
       expect(applyConfigurationChange(digest, other, change).val).toBe('otherVersion');
     }),
     { seed: SEED },
--- a/packages/router/src/__tests__/cutOffBox.test.ts
+++ b/packages/router/src/__tests__/cutOffBox.test.ts
@@ -20,8 +20,8 @@
   function passCutOff(durationMs: number, tell: () => void): void {
     const endMs = box.nowMs + durationMs;
     while (box.nowMs < endMs) {
-      box.state.noteReadFailed('connect timed out');
-      box.relay.noteFeedLost();
+      box.state.handleReadFailure('connect timed out');
+      box.relay.markFeedLost();
       tell();
       box.state.tick(box.nowMs);
       box.nowMs += 250;
@@ -36,12 +36,12 @@
 
   test('drops an endpoint that a whole list of a peer in touch no longer has', () => {
     passCutOff(3_000, () =>
-      box.values.noteHeartbeat(
+      box.values.handleHeartbeat(
         heartbeatOf('10.0.1.1:1', { hall: 'antigua', platformReport: { doubtMs: 0, saidAgoMs: 0 } }),
       ),
     );
     expect(box.listIds()).toEqual(['e-10']);
-    box.values.takeEndpoints({
+    box.values.applyEndpointsValue({
       type: 'endpointsValue',
       era: 0,
       revision: 11,
@@ -55,12 +55,12 @@
 
   test('asks a peer that has a newer list, and not while a follower tells it what changes', () => {
     const newer = heartbeatOf('10.0.1.1:1', { hall: 'antigua', endpointsRevision: 12 });
-    box.state.noteReadFailed('connect timed out');
+    box.state.handleReadFailure('connect timed out');
     box.relay.handleNotice(notice());
-    box.values.noteHeartbeat(newer);
+    box.values.handleHeartbeat(newer);
     expect(box.sent).toEqual([]);
     box.nowMs += 2_000;
-    box.values.noteHeartbeat(newer);
+    box.values.handleHeartbeat(newer);
     expect(box.sent).toMatchObject([
       { to: '10.0.1.1:1', frame: { type: 'valueRequest', value: 'endpoints' } },
     ]);
@@ -68,7 +68,7 @@
 
   test('asks a peer whose newer list it has missed for a second, though its own call still waits', () => {
     const tell = (endpointsRevision: number): void =>
-      box.values.noteHeartbeat(heartbeatOf('10.0.1.1:1', { hall: 'antigua', endpointsRevision }));
+      box.values.handleHeartbeat(heartbeatOf('10.0.1.1:1', { hall: 'antigua', endpointsRevision }));
     tell(12);
     // The news of a second version do not begin the wait anew.
     box.nowMs += BOUND_MS / 4;
@@ -83,7 +83,7 @@
 
   test('waits anew for the next list once it has caught up', () => {
     const tell = (endpointsRevision: number): void =>
-      box.values.noteHeartbeat(heartbeatOf('10.0.1.1:1', { hall: 'antigua', endpointsRevision }));
+      box.values.handleHeartbeat(heartbeatOf('10.0.1.1:1', { hall: 'antigua', endpointsRevision }));
     tell(12);
     box.publish(10, 12);
     box.sent.length = 0;
@@ -94,7 +94,7 @@
 
   test('keeps it while nobody reads the platform, and until it has been back for two seconds', () => {
     passCutOff(3_000, () => {});
-    box.values.takeEndpoints({
+    box.values.applyEndpointsValue({
       type: 'endpointsValue',
       era: 0,
       revision: 11,
@@ -119,10 +119,15 @@
 });
 
 test('a list told to a peer says which of its endpoints are no longer listed', () => {
-  box.state.noteReadFailed('connect timed out');
+  box.state.handleReadFailure('connect timed out');
   box.nowMs += 5_000;
   applyEndpoints(box.state, [{ type: 'removed', id: 'e-10' }], 11, 'peer');
-  box.values.send({ type: 'valueRequest', value: 'endpoints', address: FOLLOWER, configurationVersion: 1 });
+  box.values.handleRequest({
+    type: 'valueRequest',
+    value: 'endpoints',
+    address: FOLLOWER,
+    configurationVersion: 1,
+  });
   expect(box.sent).toMatchObject([
     { frame: { endpoints: [], lapsed: [{ id: 'e-10' }], platformReport: undefined } },
   ]);
@@ -132,7 +137,7 @@
   const readGauge = async (): Promise<string | undefined> =>
     /^hazelwalk_lapsed_endpoints (\d+)$/m.exec(await box.metrics.format())?.[1];
   expect(await readGauge()).toBe('0');
-  box.state.noteReadFailed('connect time-out');
+  box.state.handleReadFailure('connect time-out');
   const change = { type: 'removed', id: 'e-10' } as const;
   applyEndpoints(box.state, [change], 11, 'peer');
   expect(await readGauge()).toBe('1');
--- a/packages/router/src/__tests__/endpointDirectory.test.ts
+++ b/packages/router/src/__tests__/endpointDirectory.test.ts
@@ -1,22 +1,22 @@
 import { createListing, createTable } from '../__fixtures__/createEndpoints.js';
 import { EndpointDirectory } from '../systems/endpointDirectory.js';
-import { PlatformContact } from '../systems/platformContact.js';
+import { PlatformConnectivity } from '../systems/platformConnectivity.js';
 import type { EndpointTable } from '../tables/endpointTable.js';
 
 interface DirectoryOfTest {
   directory: EndpointDirectory;
-  contact: PlatformContact;
+  contact: PlatformConnectivity;
   removed: string[];
 }
 
 function createDirectory(table: EndpointTable): DirectoryOfTest {
   const removed: string[] = [];
-  const contact = new PlatformContact();
+  const contact = new PlatformConnectivity();
   const directory = new EndpointDirectory(table, contact, {
     onRemoved: (id, reason) => removed.push(`${id} ${reason}`),
     onLapsed: () => {},
   });
-  contact.noteAnswer(0);
+  contact.recordAnswer(0);
   return { directory, contact, removed };
 }
 
@@ -32,8 +32,8 @@
 test('entries that vanish while the platform is away are kept until it has been back for two seconds', () => {
   const { table } = createTable(3);
   const { directory, contact, removed } = createDirectory(table);
-  contact.noteFailure();
-  contact.noteAnswer(CALM_MS);
+  contact.recordFailure();
+  contact.recordAnswer(CALM_MS);
   directory.apply({ type: 'snapshot', endpoints: [createListing('e0')] }, CALM_MS + 10);
   directory.tick(CALM_MS + 1_900);
   expect(table.byId.size).toBe(3);
@@ -45,7 +45,7 @@
 test('nothing is dropped while the platform stays away', () => {
   const { table } = createTable(3);
   const { directory, contact } = createDirectory(table);
-  contact.noteFailure();
+  contact.recordFailure();
   directory.apply({ type: 'snapshot', endpoints: [] }, CALM_MS);
   directory.tick(CALM_MS + 60_000);
   expect(table.byId.size).toBe(3);
@@ -54,13 +54,13 @@
 test('what a peer keeps although it is no longer listed is kept as lapsed, and dropped once the platform is back', () => {
   const { table } = createTable(0);
   const { directory, contact, removed } = createDirectory(table);
-  contact.noteFailure();
+  contact.recordFailure();
   directory.apply(
     { type: 'snapshot', endpoints: [createListing('e0')], lapsed: [createListing('e1')] },
     CALM_MS,
   );
   expect(table.lapsedCount).toBe(1);
-  contact.noteAnswer(CALM_MS);
+  contact.recordAnswer(CALM_MS);
   directory.tick(CALM_MS + 2_000);
   expect(removed).toEqual(['e1 lapsed']);
   expect([...table.byId.keys()]).toEqual(['e0']);
--- a/packages/router/src/__tests__/endpointHealth.test.ts
+++ b/packages/router/src/__tests__/endpointHealth.test.ts
@@ -1,9 +1,9 @@
 import { createTable } from '../__fixtures__/createEndpoints.js';
-import { isUsable, noteReachable, noteSign } from '../systems/endpointHealth.js';
+import { isUsable, markReachable, recordHealthSignal } from '../systems/endpointHealth.js';
 import type { EndpointRow, EndpointTable } from '../tables/endpointTable.js';
 
 function failOften(table: EndpointTable, row: EndpointRow, nowMs: number): void {
-  for (let count = 0; count < 6; count += 1) noteSign(table, row, 'broke', nowMs);
+  for (let count = 0; count < 6; count += 1) recordHealthSignal(table, row, 'broke', nowMs);
 }
 
 test('an endpoint that keeps failing gets no new requests for a while, and is then tried again', () => {
@@ -13,7 +13,7 @@
   failOften(table, row, 1_000);
   expect(isUsable(row, 1_001)).toBe(false);
   expect(isUsable(row, 10_000)).toBe(true);
-  expect(noteSign(table, row, 'answered', 10_000)).toBe('restored');
+  expect(recordHealthSignal(table, row, 'answered', 10_000)).toBe('restored');
 });
 
 test('one that fails its trial is out for longer', () => {
@@ -21,9 +21,9 @@
   const [row] = rows;
   if (row === undefined) throw new Error('no endpoint');
   failOften(table, row, 1_000);
-  const firstMs = row.standing.type === 'ejected' ? row.standing.untilMs - 1_000 : 0;
-  noteSign(table, row, 'broke', 10_000);
-  const secondMs = row.standing.type === 'ejected' ? row.standing.untilMs - 10_000 : 0;
+  const firstMs = row.health.type === 'ejected' ? row.health.untilMs - 1_000 : 0;
+  recordHealthSignal(table, row, 'broke', 10_000);
+  const secondMs = row.health.type === 'ejected' ? row.health.untilMs - 10_000 : 0;
   expect(secondMs).toBeGreaterThan(firstMs);
 });
 
@@ -38,7 +38,7 @@
   const [row] = rows;
   if (row === undefined) throw new Error('no endpoint');
   for (let count = 0; count < 200; count += 1) {
-    noteSign(table, row, count % 5 === 0 ? 'errored' : 'answered', count);
+    recordHealthSignal(table, row, count % 5 === 0 ? 'errored' : 'answered', count);
     expect(isUsable(row, count)).toBe(true);
   }
 });
@@ -47,7 +47,7 @@
   const { table, rows } = createTable(6);
   const [row] = rows;
   if (row === undefined) throw new Error('no endpoint');
-  for (let count = 0; count < 50; count += 1) noteSign(table, row, 'refused', count);
+  for (let count = 0; count < 50; count += 1) recordHealthSignal(table, row, 'refused', count);
   expect(isUsable(row, 50)).toBe(true);
 });
 
@@ -55,8 +55,8 @@
   const { table, rows } = createTable(6);
   const [row] = rows;
   if (row === undefined) throw new Error('no endpoint');
-  expect(noteSign(table, row, 'connectTimedOut', 1_000)).toBe('unreachable');
+  expect(recordHealthSignal(table, row, 'connectTimedOut', 1_000)).toBe('unreachable');
   expect(isUsable(row, 100_000)).toBe(false);
-  expect(noteReachable(row, 100_000)).toBe('restored');
+  expect(markReachable(row, 100_000)).toBe('restored');
   expect(isUsable(row, 100_000)).toBe(true);
 });
--- a/packages/router/src/__tests__/feedDuty.test.ts
+++ b/packages/router/src/__tests__/feedDuty.test.ts
@@ -1,13 +1,13 @@
-import type { FeedCandidate, FeedFacts } from '../systems/feedDuty.js';
-import { decideFeedDuty, rankFollower } from '../systems/feedDuty.js';
+import type { WatcherCandidate, FeedRoleInput } from '../systems/feedRole.js';
+import { decideFeedRole, rankWatcher } from '../systems/feedRole.js';
 
 const BOUND_MS = 3_000;
 
-const able = (rank: number): FeedCandidate => ({ rank, standing: 'able' });
-const lost = (rank: number): FeedCandidate => ({ rank, standing: 'lost' });
+const able = (rank: number): WatcherCandidate => ({ rank, state: 'able' });
+const lost = (rank: number): WatcherCandidate => ({ rank, state: 'lost' });
 
 /** A box of a large fleet that ranks third in its hall and was told lately that nothing is newer. */
-const third: FeedFacts = {
+const third: FeedRoleInput = {
   nowMs: 10_000,
   boxes: 80,
   own: able(30),
@@ -18,47 +18,47 @@
 };
 
 test('every box of a small fleet follows', () => {
-  expect(decideFeedDuty({ ...third, boxes: 8 }).type).toBe('follow');
+  expect(decideFeedRole({ ...third, boxes: 8 }).type).toBe('follow');
 });
 
 test('two boxes of each hall follow for the others, and ask anew well within the bound', () => {
   for (const own of [able(5), able(15)]) {
-    const duty = decideFeedDuty({ ...third, own });
+    const duty = decideFeedRole({ ...third, own });
     expect(duty.type === 'follow' && duty.waitMs < BOUND_MS / 2).toBe(true);
   }
-  expect(decideFeedDuty(third).type).toBe('rest');
+  expect(decideFeedRole(third).type).toBe('rest');
 });
 
 test('the next box follows where one of the first two cannot read the platform', () => {
   const hallPeers = [lost(10), able(20), able(40)];
-  expect(decideFeedDuty({ ...third, hallPeers }).type).toBe('follow');
+  expect(decideFeedRole({ ...third, hallPeers }).type).toBe('follow');
 });
 
 test('a box that cannot read the platform leaves it to the others while they tell', () => {
-  expect(decideFeedDuty({ ...third, own: lost(5) }).type).toBe('rest');
+  expect(decideFeedRole({ ...third, own: lost(5) }).type).toBe('rest');
 });
 
 test('a box follows itself, in time, where the others fall silent', () => {
   const confirmedAtMs = third.nowMs - 0.6 * BOUND_MS;
-  expect(decideFeedDuty({ ...third, confirmedAtMs }).type).toBe('follow');
-  expect(decideFeedDuty({ ...third, own: lost(5), confirmedAtMs }).type).toBe('follow');
+  expect(decideFeedRole({ ...third, confirmedAtMs }).type).toBe('follow');
+  expect(decideFeedRole({ ...third, own: lost(5), confirmedAtMs }).type).toBe('follow');
 });
 
 test('a box that lacks a configuration which peers have reads it', () => {
-  expect(decideFeedDuty({ ...third, lacksConfiguration: true }).type).toBe('readConfiguration');
+  expect(decideFeedRole({ ...third, lacksConfiguration: true }).type).toBe('readConfiguration');
 });
 
 test('a box on a thin link follows only where no other of its hall can', () => {
-  const thin = able(rankFollower(5, 7));
-  const thick = [able(rankFollower(4_000_000_000, 140)), able(rankFollower(3_000_000_000, 1_000))];
-  expect(decideFeedDuty({ ...third, own: thin, hallPeers: thick }).type).toBe('rest');
-  expect(decideFeedDuty({ ...third, own: thin, hallPeers: [able(rankFollower(9, 7))] }).type).toBe('follow');
+  const thin = able(rankWatcher(5, 7));
+  const thick = [able(rankWatcher(4_000_000_000, 140)), able(rankWatcher(3_000_000_000, 1_000))];
+  expect(decideFeedRole({ ...third, own: thin, hallPeers: thick }).type).toBe('rest');
+  expect(decideFeedRole({ ...third, own: thin, hallPeers: [able(rankWatcher(9, 7))] }).type).toBe('follow');
 });
 
 /** Calls that a hall of so many boxes makes in a second of an outage. */
 function countAttemptsPerS(boxes: number): number {
   const hallPeers = Array.from({ length: boxes - 1 }, (_, at) => lost(at));
-  const duty = decideFeedDuty({ ...third, own: lost(30), hallPeers, confirmedAtMs: 0 });
+  const duty = decideFeedRole({ ...third, own: lost(30), hallPeers, confirmedAtMs: 0 });
   return duty.type === 'follow' ? (boxes * 1_000) / duty.retryMs : NaN;
 }
 
@@ -70,13 +70,13 @@
 });
 
 test('a box that reads for its hall tries again soon', () => {
-  const duty = decideFeedDuty({ ...third, own: able(5) });
+  const duty = decideFeedRole({ ...third, own: able(5) });
   expect(duty.type === 'follow' && duty.retryMs <= 250).toBe(true);
 });
 
 test('in a burst of changes the second follower of a hall calls a quarter as often as the first, and is in time', () => {
-  const [first, second] = [able(5), able(15)].map((own) => decideFeedDuty({ ...third, own }));
+  const [first, second] = [able(5), able(15)].map((own) => decideFeedRole({ ...third, own }));
   if (first?.type !== 'follow' || second?.type !== 'follow') throw new Error('both follow');
-  expect(second.gatherMs).toBeGreaterThanOrEqual(4 * first.gatherMs);
-  expect(second.gatherMs).toBeLessThanOrEqual(BOUND_MS / 2);
+  expect(second.coalesceMs).toBeGreaterThanOrEqual(4 * first.coalesceMs);
+  expect(second.coalesceMs).toBeLessThanOrEqual(BOUND_MS / 2);
 });
--- a/packages/router/src/__tests__/feedRelay.test.ts
+++ b/packages/router/src/__tests__/feedRelay.test.ts
@@ -13,7 +13,7 @@
   box.relay.handleNotice(notice({ revision: 12, changes: [...changes] }));
   expect(box.listIds()).toContain('e-new');
   expect(box.state.endpointsRevision).toBe(12);
-  expect(box.relay.decideDuty()).toEqual({ type: 'rest' });
+  expect(box.relay.decideRole()).toEqual({ type: 'rest' });
 });
 
 test('changes that are older than what a box knows change nothing', () => {
@@ -31,14 +31,14 @@
       frame: { type: 'valueRequest', address: '10.0.0.3:1', value: 'endpoints', configurationVersion: 1 },
     },
   ]);
-  expect(box.relay.decideDuty().type).toBe('follow');
+  expect(box.relay.decideRole().type).toBe('follow');
 });
 
 test('a box follows itself when the followers tell nothing for too long', () => {
   box.relay.handleNotice(notice());
-  expect(box.relay.decideDuty().type).toBe('rest');
+  expect(box.relay.decideRole().type).toBe('rest');
   box.nowMs += 0.6 * BOUND_MS;
-  expect(box.relay.decideDuty().type).toBe('follow');
+  expect(box.relay.decideRole().type).toBe('follow');
 });
 
 test('an entry that vanished while the platform was away for the follower may only have lapsed', () => {
@@ -59,7 +59,7 @@
   other.relay.handleNotice(notice({ configurationVersion: 2, configurationChars: 400_000 }));
   expect(other.sent).toEqual([]);
   other.nowMs += BOUND_MS / 10;
-  expect(other.relay.decideDuty().type).toBe('readConfiguration');
+  expect(other.relay.decideRole().type).toBe('readConfiguration');
   other.nowMs += BOUND_MS / 10;
   other.relay.handleNotice(notice({ configurationVersion: 2, configurationChars: 400_000 }));
   expect(other.sent.map((sent) => sent.frame)).toMatchObject([{ value: 'configuration' }]);
@@ -72,12 +72,12 @@
   expect(follower.sent).toMatchObject([
     { to: 'mixco', frame: { type: 'feedNotice', from: 10, revision: 15 } },
   ]);
-  follower.relay.noteFeedLost();
-  expect(follower.relay.standing).toBe('lost');
+  follower.relay.markFeedLost();
+  expect(follower.relay.feedState).toBe('lost');
   follower.relay.handleNotice(notice({ from: 15, revision: 15 }));
-  expect(follower.relay.decideDuty().type).toBe('rest');
+  expect(follower.relay.decideRole().type).toBe('rest');
   follower.nowMs += 10_000;
-  expect(follower.relay.standing).toBe('able');
+  expect(follower.relay.feedState).toBe('able');
 });
 
 /** The frames that a follower sends to its hall for these versions in turn. */
@@ -94,7 +94,7 @@
   expect(box.state.configurationVersion).toBe(4);
   expect(box.state.index?.configuration).toEqual(follower.state.index?.configuration);
   expect(box.sent).toEqual([]);
-  expect(box.relay.decideDuty().type).toBe('rest');
+  expect(box.relay.decideRole().type).toBe('rest');
 });
 
 test('a box that missed a change is told, on its question, all that changed since the version that it has', () => {
@@ -104,10 +104,10 @@
   expect(box.state.configurationVersion).toBe(1);
   const question = box.sent.map(({ frame }) => frame).find((frame) => frame.type === 'valueRequest');
   expect(question).toMatchObject({ value: 'configuration', configurationVersion: 1 });
-  follower.values.send(question as ValueRequest);
+  follower.values.handleRequest(question as ValueRequest);
   const answer = follower.sent[0]?.frame;
   expect(answer).toMatchObject({ type: 'configurationDifference', change: { from: 1, version: 5 } });
-  box.values.takeChange((answer as ConfigurationDifference).change);
+  box.values.applyConfigurationChange((answer as ConfigurationDifference).change);
   expect(box.state.index?.configuration).toEqual(follower.state.index?.configuration);
 });
 
@@ -126,20 +126,20 @@
   const { notices } = followVersions(100);
   expect(notices[0]?.configurationChange).toBeUndefined();
   box.relay.handleNotice(notices[0] as FeedNotice);
-  expect(box.relay.decideDuty()).toEqual({ type: 'readConfiguration' });
+  expect(box.relay.decideRole()).toEqual({ type: 'readConfiguration' });
 });
 
 test('a change that leads to other records than its sender has is not used', () => {
   const { notices } = followVersions(2);
   const change = notices[0]?.configurationChange as ConfigurationChange;
-  box.values.takeChange({ ...change, teams: { written: [], removed: [] } });
+  box.values.applyConfigurationChange({ ...change, teams: { written: [], removed: [] } });
   expect(box.state.configurationVersion).toBe(1);
 });
 
 test('a change that is older than the configuration in force changes nothing', () => {
   const { notices } = followVersions(2);
   box.publish(10, 11, '7');
-  box.values.takeChange(notices[0]?.configurationChange as ConfigurationChange);
+  box.values.applyConfigurationChange(notices[0]?.configurationChange as ConfigurationChange);
   expect(box.state.configurationVersion).toBe(7);
 });
 
--- a/packages/router/src/__tests__/hotPrompt.test.ts
+++ b/packages/router/src/__tests__/hotPrompt.test.ts
@@ -4,7 +4,7 @@
 import { Evacuations } from '../systems/evacuations.js';
 import { Placement } from '../systems/placement.js';
 import { PromptDemand } from '../systems/promptDemand.js';
-import { PromptHomes } from '../systems/promptHomes.js';
+import { PromptHolders } from '../systems/promptHolders.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 
 const ENDPOINTS = 62;
@@ -44,7 +44,7 @@
     hasher,
     hall: 'a',
     random,
-    homes: new PromptHomes(),
+    promptHolders: new PromptHolders(),
     demand: new PromptDemand(),
     readLoadPath: () => path,
     readLoadAgeMs: () => reportMs,
--- a/packages/router/src/__tests__/loadRelay.test.ts
+++ b/packages/router/src/__tests__/loadRelay.test.ts
@@ -146,7 +146,7 @@
 test('homes of prompts reach the own hall and the other halls once, by the speakers', () => {
   const speaker = new TestBox('1');
   speaker.peers = [heartbeatOf('2', 'mixco', 0), heartbeatOf('9', 'antigua', 0)];
-  speaker.homes.note(5, TAG);
+  speaker.homes.record(5, TAG);
   speaker.relay.handleBoxLoads({ type: 'boxLoads', address: '2', loads: [], homes: [6, TAG], prompts: [] });
   speaker.relay.handleHallLoads({
     type: 'hallLoads',
@@ -173,7 +173,7 @@
   const speaker = new TestBox('1');
   speaker.peers = [heartbeatOf('2', 'mixco', 0), heartbeatOf('9', 'antigua', 0)];
   const ask = (times: number): void => {
-    for (let count = 0; count < times; count += 1) speaker.demand.note(5);
+    for (let count = 0; count < times; count += 1) speaker.demand.recordRequest(5);
   };
   ask(2);
   speaker.relay.handleBoxLoads({
@@ -199,8 +199,8 @@
   expect(read('fleetLoads')).toEqual([5, 7]);
   const box = new TestBox('2');
   box.relay.handleFleetLoads({ type: 'fleetLoads', loads: [], homes: [], prompts: [5, 7], passTo: [] });
-  expect(box.demand.readWidth(5, box.nowMs, 0)).toBe(4);
-  expect(box.demand.readWidth(6, box.nowMs, 0)).toBe(1);
+  expect(box.demand.readSpreadWidth(5, box.nowMs, 0)).toBe(4);
+  expect(box.demand.readSpreadWidth(6, box.nowMs, 0)).toBe(1);
 });
 
 test('a speaker tells of a prompt that becomes hot at once, and once between two of its sums', () => {
@@ -234,23 +234,23 @@
 
 test('in a small fleet heartbeats tell what each box was asked for, once, and every box adds it up', () => {
   const [box, other] = [new TestBox('5', true), new TestBox('6', true)];
-  for (let count = 0; count < 5; count += 1) box.demand.note(7);
+  for (let count = 0; count < 5; count += 1) box.demand.recordRequest(7);
   expect(box.relay.takeDemandForHeartbeat()).toEqual([7, 5]);
   expect(box.relay.takeDemandForHeartbeat()).toBeUndefined();
-  other.demand.note(7);
+  other.demand.recordRequest(7);
   other.relay.handleHeartbeat({ ...heartbeatOf('5', 'mixco', 0), prompts: [7, 5] });
   other.tick();
-  expect(other.demand.readWidth(7, other.nowMs, 0)).toBe(3);
-  expect(other.demand.readWidth(8, other.nowMs, 0)).toBe(1);
+  expect(other.demand.readSpreadWidth(7, other.nowMs, 0)).toBe(3);
+  expect(other.demand.readSpreadWidth(8, other.nowMs, 0)).toBe(1);
 });
 
 test('a box of a small fleet keeps no counts of demand, and of those for a heartbeat the last few', () => {
   const box = new TestBox('5', true);
-  for (let prompt = 0; prompt < 1_000; prompt += 1) box.demand.note(prompt);
+  for (let prompt = 0; prompt < 1_000; prompt += 1) box.demand.recordRequest(prompt);
   box.tick();
   expect(box.demand.takeCounts()).toEqual([]);
   for (let tick = 0; tick < 100; tick += 1) {
-    box.demand.note(10_000 + tick);
+    box.demand.recordRequest(10_000 + tick);
     box.tick();
   }
   expect(box.relay.takeDemandForHeartbeat()?.length).toBeLessThanOrEqual(2 * 64);
--- a/packages/router/src/__tests__/peerMesh.test.ts
+++ b/packages/router/src/__tests__/peerMesh.test.ts
@@ -43,10 +43,10 @@
 ): Promise<PeerMesh> {
   const handlers = {
     createHeartbeat: () => createHeartbeat(knownAs ?? mesh.address),
-    onRead: () => {},
+    onFrameRead: () => {},
     onFrame: (frame: PeerFrame) => void heard.push(frame),
     onProblem: () => {},
-    onStanding: () => {},
+    onStateChange: () => {},
   };
   const options = {
     hall: 'mixco',
@@ -112,8 +112,8 @@
   const found = [seed, ...others];
   await waitUntil(() => found.every((mesh) => mesh.countBoxes() === 3));
   // A box that answered counts at once; its loads come with its own heartbeat.
-  await waitUntil(() => found.every((mesh) => mesh.listFresh().length === 2));
-  expect(others[0]?.listFresh().map((peer) => peer.heartbeat.loads)).toEqual([
+  await waitUntil(() => found.every((mesh) => mesh.listRecentlySeen().length === 2));
+  expect(others[0]?.listRecentlySeen().map((peer) => peer.heartbeat.loads)).toEqual([
     [4_000_000_000, 2],
     [4_000_000_000, 2],
   ]);
@@ -147,7 +147,7 @@
   jumpMs += 40_000;
   box.broadcast(createHeartbeat(box.address));
   await startMesh([], [], port, undefined, now);
-  await waitUntil(() => box.listFresh().length === 1);
+  await waitUntil(() => box.listRecentlySeen().length === 1);
 });
 
 test('frames survive any cut, and foreign bytes are refused', () => {
@@ -171,7 +171,7 @@
   const first = await startMesh([], heardByFirst, 0, relay.address);
   relay.targetPort = Number(first.address.split(':')[1]);
   const second = await startMesh([relay.address]);
-  await waitUntil(() => second.listLinked().length === 1);
+  await waitUntil(() => second.listReachable().length === 1);
   relay.silence();
   heardByFirst.length = 0;
   const countHeard = (): number =>
--- a/packages/router/src/__tests__/placement.test.ts
+++ b/packages/router/src/__tests__/placement.test.ts
@@ -6,7 +6,7 @@
 import type { Placement, PlacementOptions } from '../systems/placement.js';
 import { choosePlainEndpoint } from '../systems/plainPlacement.js';
 import { PromptDemand } from '../systems/promptDemand.js';
-import { PromptHomes } from '../systems/promptHomes.js';
+import { PromptHolders } from '../systems/promptHolders.js';
 import type { EndpointRow, EndpointTable } from '../tables/endpointTable.js';
 
 let hasher: Hasher;
@@ -20,9 +20,9 @@
 
 const createPlacement = (
   table: EndpointTable,
-  homes = new PromptHomes(),
+  homes = new PromptHolders(),
   changes: Partial<PlacementOptions> = {},
-): Placement => createPlacementOf(hasher, table, { homes, ...changes });
+): Placement => createPlacementOf(hasher, table, { promptHolders: homes, ...changes });
 
 test('every box sends a prompt to the same endpoint, whatever the rest of the request', () => {
   const first = createPlacement(createTable(12).table);
@@ -76,7 +76,7 @@
   }
   for (const [place, row] of order.entries()) {
     if (place < usable) row.peersInFlight = held;
-    else row.standing = { type: 'ejected', untilMs: NOW_MS + 1_000, times: 0 };
+    else row.health = { type: 'ejected', untilMs: NOW_MS + 1_000, priorEjections: 0 };
   }
   return { table, order };
 }
@@ -139,14 +139,14 @@
 
 test('a box that other boxes told where a prompt is held takes it from there, whatever the ranking says', () => {
   const { table, rows } = createTable(6);
-  const homes = new PromptHomes();
+  const homes = new PromptHolders();
   const home = createPlacement(table).choose(ask('p'), NOW_MS)?.row;
   const other = rows.find((row) => row !== home);
   if (home === undefined || other === undefined) throw new Error('no endpoints');
-  const noted = new PromptHomes();
+  const noted = new PromptHolders();
   createPlacement(table, noted).choose(ask('p'), NOW_MS);
-  const [prompt = 0] = noted.takeUntold(1);
-  homes.learn([prompt, other.tag]);
+  const [prompt = 0] = noted.takeUnsent(1);
+  homes.addReported([prompt, other.tag]);
   const choice = createPlacement(table, homes).choose(ask('p'), NOW_MS);
   expect(choice).toEqual({ row: home, way: 'home', load: 0, meanLoad: 0, cacheSource: other });
 });
@@ -179,7 +179,7 @@
   const placement = createPlacement(table);
   const home = placement.choose(ask('p'), NOW_MS)?.row;
   if (home === undefined) throw new Error('no home');
-  home.standing = { type: 'unreachable', hasEnded: false, nextCheckMs: NOW_MS };
+  home.health = { type: 'unreachable', isProcessGone: false, nextCheckMs: NOW_MS };
   const choice = placement.choose(ask('p'), NOW_MS);
   expect(choice?.row).not.toBe(home);
   expect(choice?.cacheSource).toBeUndefined();
@@ -198,13 +198,13 @@
 
 test('a hot prompt is spread over the first endpoints of its order, and its holders are told once', () => {
   const { table } = createTable(12);
-  const homes = new PromptHomes();
+  const homes = new PromptHolders();
   const demand = new PromptDemand();
   const random = createRandom(3);
   const placement = createPlacement(table, homes, { demand, random });
   placement.choose(ask('p'), NOW_MS);
   const [key = 0] = demand.takeCounts();
-  demand.learn([key, 8], NOW_MS);
+  demand.setHotPrompts([key, 8], NOW_MS);
   const order: string[] = [];
   for (const excluded = new Set<string>(); order.length < 4;) {
     const row = createPlacement(table).choose({ ...ask('p'), excluded }, NOW_MS)?.row;
@@ -214,7 +214,7 @@
   const choices = Array.from({ length: 400 }, () => placement.choose(ask('p'), NOW_MS));
   expect(new Set(choices.map((choice) => choice?.way))).toEqual(new Set(['hot']));
   expect(new Set(choices.map((choice) => choice?.row.listing.id))).toEqual(new Set(order));
-  expect(homes.takeUntold(100).length).toBeLessThanOrEqual(2 * 3);
+  expect(homes.takeUnsent(100).length).toBeLessThanOrEqual(2 * 3);
 });
 
 /**
@@ -225,10 +225,10 @@
 test('loads that differ little spread a hot prompt nearly evenly, loads that differ much empty the fullest', () => {
   const { table, rows } = createTable(4);
   const demand = new PromptDemand();
-  const placement = createPlacement(table, new PromptHomes(), { demand, random: createRandom(5) });
+  const placement = createPlacement(table, new PromptHolders(), { demand, random: createRandom(5) });
   placement.choose(ask('p'), NOW_MS);
   const [key = 0] = demand.takeCounts();
-  demand.learn([key, 40], NOW_MS);
+  demand.setHotPrompts([key, 40], NOW_MS);
   const shareOf = (row: EndpointRow | undefined): number => {
     const chosen = Array.from({ length: 4_000 }, () => placement.choose(ask('p'), NOW_MS)?.row);
     return chosen.filter((one) => one === row).length / chosen.length;
--- a/packages/router/src/__tests__/restoredPlatform.test.ts
+++ b/packages/router/src/__tests__/restoredPlatform.test.ts
@@ -60,7 +60,7 @@
     applyFullRead(box, 1, 4, [listed('e-new')]);
     expect(box.state.listPosition).toEqual({ era: 1, revision: 4 });
     expect(box.listIds()).toContain('e-new');
-    box.values.takeEndpoints(createEndpointsValue(0, 90, [listed('e-old')]));
+    box.values.applyEndpointsValue(createEndpointsValue(0, 90, [listed('e-old')]));
     box.relay.handleNotice(notice({ from: 4, revision: 91, changes: [{ type: 'removed', id: 'e-new' }] }));
     expect(box.listIds()).toContain('e-new');
     expect(box.listIds()).not.toContain('e-old');
@@ -70,9 +70,9 @@
     box.relay.handleNotice(notice({ era: 1, from: 4, revision: 4 }));
     expect(listValueRequests()).toMatchObject([{ value: 'endpoints' }]);
     box.nowMs += 500;
-    box.values.noteHeartbeat(heartbeatOf(PEER, { era: 1, endpointsRevision: 4 }));
+    box.values.handleHeartbeat(heartbeatOf(PEER, { era: 1, endpointsRevision: 4 }));
     expect(listValueRequests().length).toBe(2);
-    box.values.takeEndpoints(createEndpointsValue(1, 4, [listed('e-10'), listed('e-new')]));
+    box.values.applyEndpointsValue(createEndpointsValue(1, 4, [listed('e-10'), listed('e-new')]));
     expect(box.state.listPosition).toEqual({ era: 1, revision: 4 });
     expect(box.listIds()).toContain('e-new');
   });
@@ -99,7 +99,7 @@
     applyFullRead(box, 1, 20, [listed('e-10')]);
     box.nowMs += 3_000;
     box.relay.handleNotice(notice({ from: 20, revision: 20 }));
-    expect(box.relay.decideDuty().type).toBe('follow');
+    expect(box.relay.decideRole().type).toBe('follow');
   });
 
   test('retains endpoints missing from the backup for two seconds', () => {
@@ -150,9 +150,9 @@
 
 test('endpoints removed more than a minute before the restore are not screened', () => {
   const entries = new RestoredEntries();
-  entries.noteRemoved('e-1', 0);
-  entries.noteRemoved('e-2', 59_000);
-  entries.noteRestored([], () => false, 60_500);
+  entries.recordRemoval('e-1', 0);
+  entries.recordRemoval('e-2', 59_000);
+  entries.handleRestore([], () => false, 60_500);
   const endpoints = [listed('e-1'), listed('e-2')];
   expect(entries.screen(endpoints, 60_500).map(({ id }) => id)).toEqual(['e-1']);
   expect(entries.screen(endpoints, 67_000)).toEqual(endpoints);
--- a/packages/router/src/__tests__/retryBudget.test.ts
+++ b/packages/router/src/__tests__/retryBudget.test.ts
@@ -7,7 +7,7 @@
 test('a box that just started has no part of the fixed number', () => {
   const budget = new RetryBudget(bound, 0, () => 1);
   expect(budget.take('s', 100)).toBe(false);
-  for (let count = 0; count < 10; count += 1) budget.noteRequest('s', 100);
+  for (let count = 0; count < 10; count += 1) budget.recordRequest('s', 100);
   expect(budget.take('s', 100)).toBe(true);
 });
 
@@ -39,7 +39,7 @@
       for (const { box, gapMs, tries } of events) {
         nowMs += gapMs;
         const budget = budgets[box];
-        budget?.noteRequest('s', nowMs);
+        budget?.recordRequest('s', nowMs);
         let retries = 0;
         for (let attempt = 0; attempt < tries; attempt += 1)
           if (budget?.take('s', nowMs) === true) retries += 1;
--- a/packages/router/src/__tests__/silenceWatch.test.ts
+++ b/packages/router/src/__tests__/silenceWatch.test.ts
@@ -22,7 +22,7 @@
  */
 test('a second endpoint is wanted at once when it is due, and after that at a pace', () => {
   const attempt = {
-    row: { standing: { type: 'good' } },
+    row: { health: { type: 'good' } },
     sentAtMs: 1_000,
     hedgeWantedAtMs: -Infinity,
     isOnKeptConnection: false,
@@ -30,7 +30,7 @@
   const wantedAtMs: number[] = [];
   for (let nowMs = 1_000; nowMs < 1_600; nowMs += 40) {
     const watched = { route, answeredAtMs: undefined, hasOthers: false, nowMs };
-    const { verdict } = watchSilence({} as RouterContext, attempt, watched);
+    const { action: verdict } = watchSilence({} as RouterContext, attempt, watched);
     if (verdict === 'hedge') wantedAtMs.push(nowMs);
   }
   expect(wantedAtMs).toEqual([1_080, 1_280, 1_480]);
--- a/packages/router/src/fleetRouter.ts
+++ b/packages/router/src/fleetRouter.ts
@@ -4,19 +4,19 @@
 import { createHasher, SynchronousSource } from '@hazelwalk/core';
 import { Stream } from 'most';
 import { DecisionLog } from './observability/decisionLog.js';
-import { LoadKnowledgeLog } from './observability/loadKnowledgeLog.js';
+import { LoadViewLog } from './observability/loadViewLog.js';
 import { RouterMetrics } from './observability/metrics.js';
-import { createCrashNewsLog, createQuarantineLog } from './observability/quarantineLog.js';
-import { StandingLog } from './observability/standingLog.js';
+import { createCrashReportLog, createQuarantineLog } from './observability/quarantineLog.js';
+import { HealthLog } from './observability/healthLog.js';
 import { readProcessorMs, WorkMeter } from './observability/workMeter.js';
-import type { PeerListeners } from './peers/dispatchPeerFrame.js';
+import type { PeerFrameHandlers } from './peers/dispatchPeerFrame.js';
 import { dispatchPeerFrame, findWorkKind } from './peers/dispatchPeerFrame.js';
 import { FeedRelay } from './peers/feedRelay.js';
-import { Heartbeats } from './peers/heartbeats.js';
+import { HeartbeatSender } from './peers/heartbeatSender.js';
 import { LoadRelay } from './peers/loadRelay.js';
 import { PeerMesh } from './peers/peerMesh.js';
 import { TcpTransport } from './peers/peerTransport.js';
-import { PeerValues } from './peers/peerValues.js';
+import { PeerValueSync } from './peers/peerValueSync.js';
 import { CallerServer } from './proxy/callerServer.js';
 import { CrashCheck } from './proxy/crashCheck.js';
 import { EndpointConnections } from './proxy/endpointConnections.js';
@@ -24,16 +24,16 @@
 import { QuarantineRelay } from './quarantine/quarantineRelay.js';
 import type { RouterContext, RunningRequest } from './routerContext.js';
 import type { FleetRouterOptions, RouterInput } from './routerOptions.js';
-import { ColdEndpoints } from './systems/coldEndpoints.js';
+import { ColdEndpointLimiter } from './systems/coldEndpointLimiter.js';
 import { isUsable } from './systems/endpointHealth.js';
 import { acceptsRequests } from './systems/endpointNotices.js';
 import { EndpointObserver } from './systems/endpointObserver.js';
-import type { FeedDuty } from './systems/feedDuty.js';
-import { PlannedStop } from './systems/plannedStop.js';
+import type { FeedRole } from './systems/feedRole.js';
+import { GracefulShutdown } from './systems/gracefulShutdown.js';
 import type { Publication } from './systems/publishedState.js';
 import { PublishedState } from './systems/publishedState.js';
 import { PromptDemand } from './systems/promptDemand.js';
-import { PromptHomes } from './systems/promptHomes.js';
+import { PromptHolders } from './systems/promptHolders.js';
 import { Placement } from './systems/placement.js';
 import { Reachability } from './systems/reachability.js';
 import { RetryBudget } from './systems/retryBudget.js';
@@ -48,7 +48,7 @@
 export class FleetRouter {
   readonly metrics = new RouterMetrics();
   readonly log: DecisionLog;
-  private readonly standingLog: StandingLog;
+  private readonly healthLog: HealthLog;
   private readonly work: WorkMeter;
   private readonly inputs = new SynchronousSource<RouterInput>();
   private readonly table: EndpointTable;
@@ -60,16 +60,16 @@
   private readonly callers: CallerServer;
   private readonly exchanges = new Set<RunningRequest>();
   private tickedAtMs = performance.now();
-  private readonly peerValues: PeerValues;
-  private readonly homes = new PromptHomes();
+  private readonly valueSync: PeerValueSync;
+  private readonly promptHolders = new PromptHolders();
   private readonly demand = new PromptDemand();
-  private readonly relay: FeedRelay;
-  private readonly loads: LoadRelay;
+  private readonly feedRelay: FeedRelay;
+  private readonly loadRelay: LoadRelay;
   private readonly quarantine: Quarantine;
-  private readonly crashNews: QuarantineRelay;
-  private readonly heartbeats: Heartbeats;
-  private readonly peerListeners: PeerListeners;
-  private readonly plannedStop: PlannedStop;
+  private readonly quarantineRelay: QuarantineRelay;
+  private readonly heartbeatSender: HeartbeatSender;
+  private readonly peerFrameHandlers: PeerFrameHandlers;
+  private readonly gracefulShutdown: GracefulShutdown;
   private ticker: NodeJS.Timeout | undefined;
   private resolveStopped: () => void = () => {};
   /** Settles when a planned stop is complete. */
@@ -83,7 +83,7 @@
   ) {
     const now = this.now;
     this.log = new DecisionLog(options.boxId, this.metrics, now);
-    this.standingLog = new StandingLog(this.log, this.metrics, now);
+    this.healthLog = new HealthLog(this.log, this.metrics, now);
     this.work = new WorkMeter({ log: this.log, metrics: this.metrics, now });
     const { work } = this;
     this.table = new EndpointTable(hash);
@@ -96,7 +96,7 @@
       parseConfiguration: (text) => work.measure('configuration', () => options.parseConfiguration(text)),
       onLimits: (limits) => this.callers.applyLimits(limits),
       onEndpointRemoved: (id) => this.connections.forget(id),
-      onInformed: () => this.releaseWaiting(),
+      onInitialized: () => this.releaseWaiting(),
     });
     const countBoxes = (): number => this.mesh.countBoxes();
     this.connections = new EndpointConnections({
@@ -108,12 +108,12 @@
       table: this.table,
       connections: this.connections,
       now,
-      isEvacuated: (hall) => this.state.evacuations.covers(hall),
-      onChange: (row, change, because) => this.standingLog.noteEndpoint(row, change, because),
+      isEvacuated: (hall) => this.state.evacuations.isEvacuated(hall),
+      onChange: (row, change, because) => this.healthLog.logEndpointHealth(row, change, because),
     });
-    const { table, standingLog } = this;
-    const suspectHall = (suspected: string): void => this.reachability.suspectHall(suspected);
-    this.observer = new EndpointObserver({ table, standingLog, now, suspectHall });
+    const { table, healthLog } = this;
+    const checkHall = (suspected: string): void => this.reachability.checkHall(suspected);
+    this.observer = new EndpointObserver({ table, healthLog, now, checkHall });
     this.mesh = new PeerMesh(
       {
         hall: options.hall,
@@ -127,39 +127,39 @@
         firstIncarnation: Date.now(),
       },
       {
-        createHeartbeat: () => this.heartbeats.createGreeting(),
-        onRead: (type) => this.metrics.peerFrames.inc({ type }),
+        createHeartbeat: () => this.heartbeatSender.createInitialHeartbeat(),
+        onFrameRead: (type) => this.metrics.peerFrames.inc({ type }),
         onFrame: (frame) => this.inputs.push({ type: 'peerFrame', frame }),
         onProblem: (problem) => this.log.write('notable', 'peerProblem', { ...problem }),
-        onStanding: (address, standing, because) =>
-          this.standingLog.noteBox(address, standing, because, countBoxes()),
+        onStateChange: (address, state, reason) =>
+          this.healthLog.logBoxState(address, state, reason, countBoxes()),
       },
     );
     const { mesh, state, log, metrics } = this;
     const { applyBoundMs, hall, linkMbps } = options;
-    this.peerValues = new PeerValues({ mesh, state, log: this.log, now, applyBoundMs });
-    const loadKnowledge = new LoadKnowledgeLog({ log, metrics, countBoxes });
-    this.loads = new LoadRelay({
+    this.valueSync = new PeerValueSync({ mesh, state, log: this.log, now, applyBoundMs });
+    const loadKnowledge = new LoadViewLog({ log, metrics, countBoxes });
+    this.loadRelay = new LoadRelay({
       mesh,
       table: this.table,
-      homes: this.homes,
+      promptHolders: this.promptHolders,
       demand: this.demand,
       hall,
       hash,
       random: Math.random,
       now,
-      onKnowledge: (knowledge) => loadKnowledge.note(knowledge),
+      onViewStatus: (knowledge) => loadKnowledge.record(knowledge),
     });
     const readCount = (): number => this.quarantine.quarantinedCount;
     this.quarantine = new Quarantine(now, createQuarantineLog({ log, metrics, now, readCount }));
     const { quarantine } = this;
     const { random } = Math;
-    const onNews = createCrashNewsLog(log);
-    this.crashNews = new QuarantineRelay({ mesh, quarantine, hall, rank: hash, now, random, onNews });
-    this.relay = new FeedRelay({
+    const onReport = createCrashReportLog(log);
+    this.quarantineRelay = new QuarantineRelay({ mesh, quarantine, hall, rank: hash, now, random, onReport });
+    this.feedRelay = new FeedRelay({
       mesh,
       state,
-      values: this.peerValues,
+      valueSync: this.valueSync,
       log: this.log,
       hall,
       linkMbps,
@@ -167,29 +167,29 @@
       now,
       applyBoundMs,
     });
-    const { homes, loads, crashNews, peerValues, relay } = this;
-    const isStopping = (): boolean => this.plannedStop.isUnderWay;
-    this.heartbeats = new Heartbeats({
+    const { promptHolders, loadRelay, quarantineRelay, valueSync, feedRelay } = this;
+    const isStopping = (): boolean => this.gracefulShutdown.isInProgress;
+    this.heartbeatSender = new HeartbeatSender({
       hall,
       linkMbps,
       mesh,
       state,
       table,
-      homes,
-      loads,
-      relay,
-      crashNews,
+      promptHolders,
+      loadRelay,
+      feedRelay,
+      quarantineRelay,
       isStopping,
       now,
     });
-    this.peerListeners = { homes, loads, crashNews, peerValues, relay, state };
+    this.peerFrameHandlers = { promptHolders, loadRelay, quarantineRelay, valueSync, feedRelay, state };
     this.callers = new CallerServer(this.createContext(countBoxes));
-    this.plannedStop = new PlannedStop({
+    this.gracefulShutdown = new GracefulShutdown({
       now,
       log,
       graceMs: options.stopGraceMs,
       countExchanges: () => this.exchanges.size,
-      refuseNew: () => this.callers.refuseNew(),
+      stopAccepting: () => this.callers.stopAccepting(),
       onStopped: () => this.resolveStopped(),
     });
   }
@@ -224,7 +224,7 @@
 
   /** Whether callers should be sent here: it knows what to serve and is not stopping. */
   isReady(): boolean {
-    return this.state.isInformed && !this.plannedStop.isUnderWay;
+    return this.state.isInitialized && !this.gracefulShutdown.isInProgress;
   }
 
   /** Version of the configuration in force; 0 before the first. */
@@ -233,13 +233,13 @@
   }
 
   /** Whether the platform answered last time. */
-  get isInTouchWithPlatform(): boolean {
-    return this.state.isInTouch;
+  get isPlatformConnected(): boolean {
+    return this.state.isPlatformConnected;
   }
 
   /** What this box does about the platform now: follow it, read a value, or rely on peers. */
-  decideFeedDuty(): FeedDuty {
-    return this.relay.decideDuty();
+  decideFeedRole(): FeedRole {
+    return this.feedRelay.decideRole();
   }
 
   /** Endpoints of a service that get new requests from this box. */
@@ -281,40 +281,40 @@
         hasher: { h32: (text, seed) => hash(text, seed) },
         hall: options.hall,
         random: Math.random,
-        homes: this.homes,
+        promptHolders: this.promptHolders,
         demand: this.demand,
         evacuations: this.state.evacuations,
         cold: this.createColdEndpoints(),
         findRegion: (other) => options.regions[other],
-        readLoadPath: () => (this.mesh.isFlat ? 'direct' : 'relayed'),
-        readLoadAgeMs: () => this.loads.readAgeMs(),
+        readLoadPath: () => (this.mesh.isFullMesh ? 'direct' : 'relayed'),
+        readLoadAgeMs: () => this.loadRelay.readLoadAgeMs(),
       }),
       budget: new RetryBudget(options.retryBound, now(), countBoxes),
       connections: this.connections,
-      crashCheck: new CrashCheck(this.connections, (row) => this.observer.noteSign(row, 'connectRefused')),
+      crashCheck: new CrashCheck(this.connections, (row) => this.observer.record(row, 'connectRefused')),
       quarantine: this.quarantine,
-      crashNews: this.crashNews,
+      quarantineRelay: this.quarantineRelay,
       metrics: this.metrics,
       log: this.log,
       exchanges: this.exchanges,
       now,
       hash,
       readIndex: () => this.state.index,
-      isInformed: () => this.state.isInformed,
-      isStopping: () => this.plannedStop.isUnderWay,
-      noteSign: (row, sign) => this.observer.noteSign(row, sign),
-      noteAnswerFacts: (row, facts) => this.observer.noteAnswerFacts(row, facts),
+      isInitialized: () => this.state.isInitialized,
+      isStopping: () => this.gracefulShutdown.isInProgress,
+      recordHealthSignal: (row, sign) => this.observer.record(row, sign),
+      recordAnnouncements: (row, facts) => this.observer.recordAnnouncements(row, facts),
     };
   }
 
-  private createColdEndpoints(): ColdEndpoints {
+  private createColdEndpoints(): ColdEndpointLimiter {
     const { mesh, options, hash } = this;
-    return new ColdEndpoints({
+    return new ColdEndpointLimiter({
       hall: options.hall,
       hasher: { h32: (text, seed) => hash(text, seed) },
       bound: options.coldBound,
       startedAtMs: this.now(),
-      hasMetOthers: () => mesh.hasMetOthers,
+      hasJoinedFleet: () => mesh.hasJoinedFleet,
       readAddress: () => mesh.address,
       listHallPeers: () => mesh.listHallPeers(),
     });
@@ -332,10 +332,10 @@
         return this.handleFeedLost(input.reason);
       case 'peerFrame':
         return this.work.measure(findWorkKind(input.frame.type), () =>
-          dispatchPeerFrame(input.frame, this.peerListeners),
+          dispatchPeerFrame(input.frame, this.peerFrameHandlers),
         );
       case 'stopRequested':
-        return this.plannedStop.request();
+        return this.gracefulShutdown.request();
     }
   }
 
@@ -349,10 +349,10 @@
     work.measure('timeouts', () => this.state.tick(nowMs));
     work.measure('membership', () => this.mesh.tick());
     work.measure('timeouts', () => this.tickRequests(nowMs));
-    work.measure('loads', () => this.loads.tick());
-    work.measure('crashNews', () => this.crashNews.tick());
-    work.measure('membership', () => this.heartbeats.tick(nowMs));
-    this.plannedStop.tick();
+    work.measure('loads', () => this.loadRelay.tick());
+    work.measure('crashNews', () => this.quarantineRelay.tick());
+    work.measure('membership', () => this.heartbeatSender.tick(nowMs));
+    this.gracefulShutdown.tick();
   }
 
   private tickRequests(nowMs: number): void {
@@ -366,8 +366,8 @@
       stalledMs: Math.round(stalledMs),
       requestsInFlight: this.exchanges.size,
     });
-    for (const row of this.table.byId.values()) row.heardAtMs += stalledMs;
-    for (const exchange of this.exchanges) exchange.noteStall(stalledMs);
+    for (const row of this.table.byId.values()) row.lastResponseAtMs += stalledMs;
+    for (const exchange of this.exchanges) exchange.handlePause(stalledMs);
   }
 
   /** Requests that came before the box knew what to serve go on at once. */
@@ -377,15 +377,15 @@
   }
 
   private handlePublication(publication: Publication): void {
-    this.relay.announce(this.state.applyPublication(publication));
+    this.feedRelay.announce(this.state.applyPublication(publication));
   }
 
   private handleFeedLost(reason: string): void {
-    const wasAble = this.relay.standing === 'able';
-    this.state.noteReadFailed(reason);
-    this.relay.noteFeedLost();
+    const wasAble = this.feedRelay.feedState === 'able';
+    this.state.handleReadFailure(reason);
+    this.feedRelay.markFeedLost();
     // The hall needs another box that follows the platform, sooner than the next heartbeat would say so.
-    if (wasAble) this.heartbeats.tellHall();
+    if (wasAble) this.heartbeatSender.sendToHall();
   }
 
   /** A failure of the loop leaves the tables in doubt: better no box than a wrong one. */
--- a/packages/router/src/httpDialect.ts
+++ b/packages/router/src/httpDialect.ts
@@ -3,10 +3,10 @@
  * into headers, so that the same router serves callers and endpoints of different conventions.
  */
 import type { IncomingHttpHeaders } from 'node:http';
-import type { AnswerFacts, CallerRequest, ForwardedFacts } from './records.js';
+import type { ResponseMetadata, CallerRequest, ForwardedMetadata } from './records.js';
 
 /** Header names in lower case with their values; repeated headers as lists. */
-export type AnswerHeaders = Record<string, string | string[] | undefined>;
+export type ResponseHeaders = Record<string, string | string[] | undefined>;
 
 /** Reads and writes the facts in HTTP heads. */
 export interface HttpDialect {
@@ -15,9 +15,9 @@
   /** Headers (lower case) that a caller may not set: dropped from what is passed on. */
   readonly reservedHeaders: ReadonlySet<string>;
   /** Name and value in turn, for one endpoint. */
-  writeForwarded(facts: ForwardedFacts): string[];
+  writeForwardedHeaders(facts: ForwardedMetadata): string[];
   /** Reads the head of an endpoint's answer. */
-  readAnswer(status: number, headers: AnswerHeaders): AnswerFacts;
+  readResponse(status: number, headers: ResponseHeaders): ResponseMetadata;
   /** Name and value of the header that tells a caller when to come back. */
   writeRetryAfter(retryAfterMs: number): readonly [string, string];
 }
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -8,7 +8,7 @@
 export type { EvacuationChange } from './systems/evacuations.js';
 export type { ListPosition } from './systems/listPosition.js';
 export { RESTORE_SCREENING_MS } from './systems/restoredEntries.js';
-export type { FeedDuty } from './systems/feedDuty.js';
+export type { FeedRole } from './systems/feedRole.js';
 export type { Publication } from './systems/publishedState.js';
 export type { RetryBound } from './systems/retryBudget.js';
 export type { RouterMetrics } from './observability/metrics.js';
--- a/packages/router/src/membership/__fixtures__/virtualFleet.ts
+++ b/packages/router/src/membership/__fixtures__/virtualFleet.ts
@@ -3,7 +3,7 @@
 import { createRandom, Timeline } from '@hazelwalk/standins';
 import type { Heartbeat, RouterFrame } from '../../peers/peerFrames.js';
 import { PeerMesh } from '../../peers/peerMesh.js';
-import type { CrashGreeting } from '../../quarantine/quarantineRelay.js';
+import type { CrashSnapshot } from '../../quarantine/quarantineRelay.js';
 import { VirtualNetwork } from './virtualNetwork.js';
 
 /** Pace of the boxes' loops. */
@@ -19,9 +19,9 @@
   /** Loads that heartbeats of a small fleet carry. */
   listLoads(): number[];
   /** What is told on a new link of requests that crash their endpoints. */
-  createCrashGreeting?(): CrashGreeting;
+  createCrashSnapshot?(): CrashSnapshot;
   /** What a heartbeat tells besides, each time. */
-  createDemandNews?(): Pick<Heartbeat, 'prompts'>;
+  createDemandReport?(): Pick<Heartbeat, 'prompts'>;
 }
 
 /** One box. */
@@ -145,7 +145,7 @@
       configurationVersion: 1,
       endpointsRevision: 1,
       era: 0,
-      loads: mesh.isFlat ? (box.program?.listLoads() ?? []) : [],
+      loads: mesh.isFullMesh ? (box.program?.listLoads() ?? []) : [],
       homes: [],
       incarnation: mesh.incarnation,
       isStopping: false,
@@ -161,11 +161,11 @@
         firstIncarnation: timeline.nowMs,
       },
       {
-        createHeartbeat: () => ({ ...createHeartbeat(), ...box.program?.createCrashGreeting?.() }),
-        onRead: () => {},
+        createHeartbeat: () => ({ ...createHeartbeat(), ...box.program?.createCrashSnapshot?.() }),
+        onFrameRead: () => {},
         onFrame: (frame) => box.program?.handleFrame(frame),
         onProblem: () => {},
-        onStanding: (other, standing) => {
+        onStateChange: (other, standing) => {
           if (standing === 'down') box.downAtMs.set(other, timeline.nowMs);
           else box.downAtMs.delete(other);
         },
@@ -185,9 +185,9 @@
       if (machine.state === 'running') {
         mesh.tick();
         box.program?.tick();
-        if (this.timeline.nowMs - heartbeatAtMs >= mesh.paceMs) {
+        if (this.timeline.nowMs - heartbeatAtMs >= mesh.heartbeatIntervalMs) {
           heartbeatAtMs = this.timeline.nowMs;
-          mesh.broadcast({ ...createHeartbeat(), ...box.program?.createDemandNews?.() });
+          mesh.broadcast({ ...createHeartbeat(), ...box.program?.createDemandReport?.() });
         }
       }
       this.timeline.after(TICK_MS, tick);
--- a/packages/router/src/membership/__tests__/failureDetector.test.ts
+++ b/packages/router/src/membership/__tests__/failureDetector.test.ts
@@ -45,7 +45,7 @@
       incarnation: 1,
       isRelayed: false,
     } as const;
-    this.effects.push(...this.detector.handleProbeHeard(heard, this.nowMs));
+    this.effects.push(...this.detector.handleProbeAck(heard, this.nowMs));
   }
 }
 
@@ -69,7 +69,7 @@
       frame: { type: 'probeRequest', address: OWN, target: 'a', sequence: 5 },
     })),
     { type: 'down', address: 'a', because: 'unheard' },
-    { type: 'tellHall', frame: { type: 'boxDown', address: 'a', incarnation: 1 } },
+    { type: 'sendToHall', frame: { type: 'boxDown', address: 'a', incarnation: 1 } },
   ]);
 });
 
@@ -83,7 +83,7 @@
   const { detector } = new TestHall(new Set());
   detector.tick(() => ['a'], 0);
   const heard = { type: 'probeHeard', address: 'a', sequence: 1, incarnation: 1, isRelayed: true } as const;
-  expect(detector.handleProbeHeard(heard, 700)).toEqual([{ type: 'linkDoubted', address: 'a' }]);
+  expect(detector.handleProbeAck(heard, 700)).toEqual([{ type: 'reconnectLink', address: 'a' }]);
 });
 
 test('a box asks in the place of another one and passes the answer on', () => {
@@ -93,7 +93,7 @@
   if (effect?.type !== 'send' || effect.frame.type !== 'probe') throw new Error('asks');
   const { sequence } = effect.frame;
   const heard = { type: 'probeHeard', address: 'a', sequence, incarnation: 4, isRelayed: false } as const;
-  expect(detector.handleProbeHeard(heard, 5)).toEqual([
+  expect(detector.handleProbeAck(heard, 5)).toEqual([
     { type: 'send', to: 'c', frame: { ...heard, sequence: 77, isRelayed: true } },
   ]);
 });
@@ -102,7 +102,7 @@
   const detector = createDetector();
   const frame = { type: 'boxDown', address: OWN, incarnation: 500 } as const;
   expect(detector.handleBoxDown(frame)).toEqual([
-    { type: 'tellHall', frame: { type: 'boxUp', address: OWN, incarnation: 501 } },
+    { type: 'sendToHall', frame: { type: 'boxUp', address: OWN, incarnation: 501 } },
   ]);
   expect(detector.incarnation).toBe(501);
 });
@@ -119,13 +119,13 @@
         const known = newest.get(event.address) ?? 0;
         if (event.kind === 'sign') {
           newest.set(event.address, Math.max(known, event.incarnation));
-          detector.noteIncarnation(event.address, event.incarnation);
+          detector.recordIncarnation(event.address, event.incarnation);
         } else detector.handleBoxDown({ type: 'boxDown', ...event });
-        const accusation = detector.findAccusation(event.address);
+        const accusation = detector.findDownReport(event.address);
         expect(accusation?.incarnation ?? Infinity).toBeGreaterThanOrEqual(newest.get(event.address) ?? 0);
       }
       for (const box of ['a', 'b']) {
-        detector.noteIncarnation(box, 6);
+        detector.recordIncarnation(box, 6);
         expect(detector.isDown(box)).toBe(false);
       }
     }),
--- a/packages/router/src/membership/__tests__/membership.test.ts
+++ b/packages/router/src/membership/__tests__/membership.test.ts
@@ -2,7 +2,7 @@
  * Membership of whole fleets in virtual time: who finds whom, how soon a box that does nothing for others is noticed, and
  * what it costs.
  */
-import { CANDIDATES_PER_HALL } from '../fleetDirectory.js';
+import { AGGREGATOR_CANDIDATES_PER_HALL } from '../fleetDirectory.js';
 import type { FleetPlan, VirtualBox } from '../__fixtures__/virtualFleet.js';
 import { VirtualFleet } from '../__fixtures__/virtualFleet.js';
 
@@ -24,14 +24,14 @@
 /** Boxes of its hall that a box would let speak, or follow the platform. */
 const listPartners = (box: VirtualBox): string[] =>
   box.mesh
-    .listLinked()
+    .listReachable()
     .filter((heartbeat) => heartbeat.hall === box.hall)
     .map((heartbeat) => heartbeat.address)
     .sort();
 
 /** Halls of which a box hears the speakers. */
 const listHallsHeard = (box: VirtualBox): Set<string> =>
-  new Set(box.mesh.listLinked().map((heartbeat) => heartbeat.hall));
+  new Set(box.mesh.listReachable().map((heartbeat) => heartbeat.hall));
 
 function listHallNames(fleet: VirtualFleet): string[] {
   return [...new Set(fleet.boxes.map((box) => box.hall))];
@@ -150,7 +150,7 @@
     // A moment later nobody tells loads to those that spoke before.
     await fleet.run(0.5);
     for (const box of fleet.listRunning()) {
-      for (const heartbeat of box.mesh.listLinked()) expect(stopped).not.toContain(heartbeat.address);
+      for (const heartbeat of box.mesh.listReachable()) expect(stopped).not.toContain(heartbeat.address);
     }
   });
 
@@ -253,8 +253,8 @@
     // Halls of the same size: 33 boxes in each.
     const six = await measure({ boxes: 198, halls: 6, seed: 4 });
     const twelve = await measure({ boxes: 396, halls: 12, seed: 4 });
-    expect(six.links).toBe(32 + 5 * CANDIDATES_PER_HALL);
-    expect(twelve.links).toBe(32 + 11 * CANDIDATES_PER_HALL);
+    expect(six.links).toBe(32 + 5 * AGGREGATOR_CANDIDATES_PER_HALL);
+    expect(twelve.links).toBe(32 + 11 * AGGREGATOR_CANDIDATES_PER_HALL);
     expect(six.bytesPerS).toBeLessThan(BYTES_PER_S / 2);
     expect(twelve.bytesPerS).toBeLessThan(BYTES_PER_S / 2);
   });
--- a/packages/router/src/membership/failureDetector.ts
+++ b/packages/router/src/membership/failureDetector.ts
@@ -7,7 +7,7 @@
  *
  * No I/O and no clock: time and frames come in, effects go out.
  */
-import type { BoxDown, BoxUp, PeerFrame, Probe, ProbeHeard, ProbeRequest } from '../peers/peerFrames.js';
+import type { BoxDown, BoxUp, PeerFrame, Probe, ProbeAck, ProbeRequest } from '../peers/peerFrames.js';
 
 /** Pace of probes. Each goes to the next of `WATCHED_BOXES` in turn, so one of these is asked once in a second. */
 const PROBE_MS = 500;
@@ -30,12 +30,12 @@
 export type DetectorEffect =
   | { readonly type: 'send'; readonly to: string; readonly frame: PeerFrame }
   /** Tell every box of the hall. */
-  | { readonly type: 'tellHall'; readonly frame: PeerFrame }
+  | { readonly type: 'sendToHall'; readonly frame: PeerFrame }
   /** The box no longer counts as one that can do anything for others. */
   | { readonly type: 'down'; readonly address: string; readonly because: 'unheard' | 'told' }
   | { readonly type: 'up'; readonly address: string }
   /** Others reach the box, this one does not: its link may have gone silent. */
-  | { readonly type: 'linkDoubted'; readonly address: string };
+  | { readonly type: 'reconnectLink'; readonly address: string };
 
 /** What the detector needs to know of its box. */
 export interface DetectorOptions {
@@ -114,33 +114,33 @@
   }
 
   /** Answers a question for a sign of life. A box that others hold for down is told so, so that it can object. */
-  answerProbe(probe: Probe): ProbeHeard | BoxDown {
-    const accusation = this.findAccusation(probe.address);
+  answerProbe(probe: Probe): ProbeAck | BoxDown {
+    const accusation = this.findDownReport(probe.address);
     if (accusation !== undefined && accusation.incarnation >= probe.incarnation) return accusation;
     return this.createAnswer(probe.sequence);
   }
 
   /** What others say against a box; undefined if it counts as up. */
-  findAccusation(address: string): BoxDown | undefined {
+  findDownReport(address: string): BoxDown | undefined {
     const incarnation = this.down.get(address);
     return incarnation === undefined ? undefined : { type: 'boxDown', address, incarnation };
   }
 
   /** Takes an answer: from the box that was asked, or from a helper about it. */
-  handleProbeHeard(heard: ProbeHeard, nowMs: number): DetectorEffect[] {
+  handleProbeAck(heard: ProbeAck, nowMs: number): DetectorEffect[] {
     if (nowMs - this.answeredAtMs > CUT_OFF_MS) this.askAllAnew(heard.address);
     this.answeredAtMs = nowMs;
     const forOther = this.probesForOthers.get(heard.sequence);
     if (forOther !== undefined) {
       this.probesForOthers.delete(heard.sequence);
-      const frame: ProbeHeard = { ...heard, sequence: forOther.askerSequence, isRelayed: true };
+      const frame: ProbeAck = { ...heard, sequence: forOther.askerSequence, isRelayed: true };
       return [{ type: 'send', to: forOther.asker, frame }];
     }
     const suspect = this.suspects.get(heard.address);
     if (suspect === undefined || suspect.sequence !== heard.sequence) return [];
     this.suspects.delete(heard.address);
-    const effects = this.noteIncarnation(heard.address, heard.incarnation);
-    if (heard.isRelayed) effects.push({ type: 'linkDoubted', address: heard.address });
+    const effects = this.recordIncarnation(heard.address, heard.incarnation);
+    if (heard.isRelayed) effects.push({ type: 'reconnectLink', address: heard.address });
     return effects;
   }
 
@@ -165,7 +165,7 @@
   }
 
   /** Takes note of the life that a box says it is in; a newer one than that found down brings it back. */
-  noteIncarnation(address: string, incarnation: number): DetectorEffect[] {
+  recordIncarnation(address: string, incarnation: number): DetectorEffect[] {
     if (incarnation > (this.incarnations.get(address) ?? 0)) this.incarnations.set(address, incarnation);
     const downAt = this.down.get(address);
     if (downAt === undefined || incarnation <= downAt) return [];
@@ -243,7 +243,7 @@
     this.suspects.delete(address);
     const incarnation = this.incarnations.get(address) ?? 0;
     const frame: BoxDown = { type: 'boxDown', address, incarnation };
-    return [...this.markDown(address, incarnation, 'unheard'), { type: 'tellHall', frame }];
+    return [...this.markDown(address, incarnation, 'unheard'), { type: 'sendToHall', frame }];
   }
 
   private markDown(address: string, incarnation: number, because: 'unheard' | 'told'): DetectorEffect[] {
@@ -261,7 +261,7 @@
       address: this.options.readAddress(),
       incarnation: this.ownIncarnation,
     };
-    return [{ type: 'tellHall', frame }];
+    return [{ type: 'sendToHall', frame }];
   }
 
   /** Asks the next box on the ring. Those that owe an answer are passed over, so that others can show a link works. */
@@ -302,7 +302,7 @@
     };
   }
 
-  private createAnswer(sequence: number): ProbeHeard {
+  private createAnswer(sequence: number): ProbeAck {
     return {
       type: 'probeHeard',
       address: this.options.readAddress(),
--- a/packages/router/src/membership/spreadPlan.ts
+++ b/packages/router/src/membership/fanOutPlan.ts
@@ -8,8 +8,8 @@
 export const FAN_OUT = 4;
 
 /** One box to send to, and those that it passes the frame on to. */
-export interface SpreadBranch {
-  readonly head: number;
+export interface FanOutBranch {
+  readonly receiver: number;
   readonly passTo: readonly number[];
 }
 
@@ -19,15 +19,15 @@
  *
  * @example planSpread([1, 2, 3], () => true) // three branches with nobody to pass on to
  */
-export function planSpread(
+export function planFanOut(
   targets: readonly number[],
   isReachable: (target: number) => boolean,
-): SpreadBranch[] {
+): FanOutBranch[] {
   const reachable = targets.filter((target) => isReachable(target));
   const heads = reachable.slice(0, FAN_OUT);
   const others = [...reachable.slice(FAN_OUT), ...targets.filter((target) => !isReachable(target))];
-  return heads.map((head, place) => ({
-    head,
+  return heads.map((head, place): FanOutBranch => ({
+    receiver: head,
     passTo: others.filter((_, at) => at % heads.length === place),
   }));
 }
--- a/packages/router/src/membership/fleetDirectory.ts
+++ b/packages/router/src/membership/fleetDirectory.ts
@@ -13,7 +13,7 @@
 /** Up to so many boxes all are linked to all: two speakers a hall would save nothing. */
 const MAX_FLAT_BOXES = 16;
 /** Boxes of a hall that keep links to other halls: two speakers, and one that can take over at once. */
-export const CANDIDATES_PER_HALL = 3;
+export const AGGREGATOR_CANDIDATES_PER_HALL = 3;
 /** Boxes of another hall that are remembered beside its speakers, to turn to if all of these are gone. */
 const CONTACTS_PER_HALL = 8;
 /**
@@ -100,7 +100,7 @@
   }
 
   /** A box was heard itself. */
-  noteHeard(sender: Pick<Heartbeat, 'address' | 'hall'>): void {
+  markSeen(sender: Pick<Heartbeat, 'address' | 'hall'>): void {
     const { address, hall } = sender;
     if (address === this.ownAddress) return;
     const box = this.add(address, hall, false);
@@ -111,9 +111,9 @@
   }
 
   /** Takes over what another box knows of the fleet. */
-  noteIntroduction(introduction: Introduction): void {
+  handleIntroduction(introduction: Introduction): void {
     const { hall, now } = this.options;
-    this.noteHeard(introduction);
+    this.markSeen(introduction);
     for (const address of introduction.members) this.name(address, hall);
     for (const view of introduction.halls) {
       if (view.hall === hall) continue;
@@ -124,7 +124,7 @@
   }
 
   /** The speaker of another hall says how many boxes its hall has and who speaks for it. */
-  noteSummary(summary: HallSummary): void {
+  handleSummary(summary: HallSummary): void {
     if (summary.hall === this.options.hall) return;
     this.noteHall(summary.hall, summary.boxes, summary.addresses, this.options.now());
     for (const address of summary.addresses) this.name(address, summary.hall);
@@ -152,48 +152,48 @@
   }
 
   /** Whether the fleet is small enough for every box to link to every other. */
-  get isFlat(): boolean {
+  get isFullMesh(): boolean {
     return this.countBoxes() <= MAX_FLAT_BOXES;
   }
 
   /** How many boxes of the hall that can be reached rank before this one. */
-  findPlace(): number {
+  findPosition(): number {
     const own = this.ownRank;
     return this.listReachable().filter((box) => box.rank < own).length;
   }
 
   /** The boxes of the own hall that speak for it or take over, in order. */
-  listCandidates(): string[] {
+  listAggregatorCandidates(): string[] {
     const own = { address: this.ownAddress, rank: this.ownRank };
     const ranked = [own, ...this.listReachable()].sort((a, b) => a.rank - b.rank);
-    return ranked.slice(0, CANDIDATES_PER_HALL).map((box) => box.address);
+    return ranked.slice(0, AGGREGATOR_CANDIDATES_PER_HALL).map((box) => box.address);
   }
 
   /** Addresses to which this box needs a link now. */
-  listWanted(): string[] {
+  listLinkTargets(): string[] {
     this.forgetOld();
     const all = [...this.boxes.values()];
-    if (this.isFlat) return all.map((box) => box.address);
+    if (this.isFullMesh) return all.map((box) => box.address);
     const { hall } = this.options;
     const ownHall = all.filter((box) => box.hall === hall).map((box) => box.address);
     const isAlone = !ownHall.some((address) => this.options.isLinked(address));
     const isSettled = this.options.now() - this.startedAtMs >= SETTLE_MS;
     const wanted = new Set(ownHall);
     if (isAlone || !isSettled) for (const box of all) if (box.isSeed) wanted.add(box.address);
-    const mayHaveToSpeak = isSettled && this.findPlace() < CANDIDATES_PER_HALL;
+    const mayHaveToSpeak = isSettled && this.findPosition() < AGGREGATOR_CANDIDATES_PER_HALL;
     if (mayHaveToSpeak) for (const address of this.listAwayWanted(all)) wanted.add(address);
     return [...wanted];
   }
 
   /** Whether an address was heard so lately that it is worth another attempt at once. */
-  isLikelyThere(address: string): boolean {
+  isLikelyReachable(address: string): boolean {
     const box = this.boxes.get(address);
     if (box === undefined) return false;
     return this.options.now() - Math.max(box.heardAtMs, box.namedAtMs) <= HEARD_LATELY_MS;
   }
 
   /** Whether an address is known to be of another hall. */
-  isAway(address: string): boolean {
+  isInOtherHall(address: string): boolean {
     const hall = this.boxes.get(address)?.hall;
     return hall !== undefined && hall !== this.options.hall;
   }
@@ -217,7 +217,7 @@
       type: 'hallSummary',
       hall: this.options.hall,
       boxes: this.countHall(),
-      addresses: this.listCandidates(),
+      addresses: this.listAggregatorCandidates(),
     };
   }
 
@@ -235,11 +235,11 @@
   private describeHall(hall: string): HallView {
     const { now, hall: ownHall } = this.options;
     if (hall === ownHall) {
-      const addresses = this.isFlat ? this.listHeardLately(hall) : this.listCandidates();
+      const addresses = this.isFullMesh ? this.listHeardLately(hall) : this.listAggregatorCandidates();
       return { hall, boxes: this.countHall(), addresses, ageMs: 0 };
     }
     const known = this.halls.get(hall);
-    if (known === undefined || this.isFlat) {
+    if (known === undefined || this.isFullMesh) {
       const addresses = this.listHeardLately(hall);
       return { hall, boxes: addresses.length, addresses, ageMs: HEARSAY_AGE_MS };
     }
@@ -316,7 +316,7 @@
 
   /** Of other halls a few boxes are enough once the fleet is large. */
   private dropSurplus(hall: string): void {
-    if (hall === this.options.hall || this.isFlat) return;
+    if (hall === this.options.hall || this.isFullMesh) return;
     const contacts = [...this.boxes.values()].filter((box) => box.hall === hall && !box.isSeed);
     if (contacts.length <= CONTACTS_PER_HALL) return;
     const speakers = new Set(this.halls.get(hall)?.addresses);
--- a/packages/router/src/membership/hallPlace.ts
+++ b/packages/router/src/membership/hallPosition.ts
@@ -6,12 +6,12 @@
  *
  * @example if (findHallPlace(mesh, 'mixco', rank) === 0) speak();
  */
-export function findHallPlace(
-  mesh: Pick<PeerMesh, 'address' | 'listLinked'>,
+export function findHallPosition(
+  mesh: Pick<PeerMesh, 'address' | 'listReachable'>,
   hall: string,
   rank: (address: string) => number,
 ): number {
   const own = rank(mesh.address);
-  const live = mesh.listLinked().filter((peer) => peer.hall === hall && !peer.isStopping);
+  const live = mesh.listReachable().filter((peer) => peer.hall === hall && !peer.isStopping);
   return live.filter((peer) => rank(peer.address) < own).length;
 }
--- a/packages/router/src/observability/standingLog.ts
+++ b/packages/router/src/observability/healthLog.ts
@@ -1,12 +1,12 @@
 /** Writes down what a box comes to believe of endpoints and of other boxes. */
-import type { StandingChange } from '../systems/endpointHealth.js';
+import type { HealthChange } from '../systems/endpointHealth.js';
 import type { EndpointNoticeChange } from '../systems/endpointNotices.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 import type { DecisionLog } from './decisionLog.js';
 import type { RouterMetrics } from './metrics.js';
 
 /** Lines and counters of changed beliefs. */
-export class StandingLog {
+export class HealthLog {
   constructor(
     private readonly log: DecisionLog,
     private readonly metrics: RouterMetrics,
@@ -14,8 +14,8 @@
   ) {}
 
   /** An endpoint gets new requests no more, or again. */
-  noteEndpoint(row: EndpointRow, change: StandingChange, because: string): void {
-    this.metrics.standings.inc({ change });
+  logEndpointHealth(row: EndpointRow, change: HealthChange, because: string): void {
+    this.metrics.healthChanges.inc({ change });
     this.log.write('notable', 'endpointStanding', {
       endpoint: row.listing.id,
       service: row.listing.service,
@@ -24,13 +24,13 @@
       because,
       failureRate: Math.round(row.failureRate * 100) / 100,
       inFlight: row.inFlight,
-      heardAgoMs: Math.round(this.now() - row.heardAtMs),
+      heardAgoMs: Math.round(this.now() - row.lastResponseAtMs),
     });
   }
 
   /** Logs and counts an announcement that changed the recorded state of an endpoint. */
-  noteEndpointNotice(row: EndpointRow, change: EndpointNoticeChange): void {
-    this.metrics.notices.inc({ notice: change });
+  logEndpointNotice(row: EndpointRow, change: EndpointNoticeChange): void {
+    this.metrics.endpointNotices.inc({ notice: change });
     this.log.write('notable', 'endpointNotice', {
       endpoint: row.listing.id,
       service: row.listing.service,
@@ -43,8 +43,8 @@
   }
 
   /** A box of the own hall was found to be down, or is back. */
-  noteBox(address: string, standing: 'down' | 'up', because: string, boxes: number): void {
-    this.metrics.peerStandings.inc({ standing });
+  logBoxState(address: string, standing: 'down' | 'up', because: string, boxes: number): void {
+    this.metrics.peerStateChanges.inc({ standing });
     this.log.write('notable', 'boxStanding', { address, standing, because, boxes });
   }
 }
--- a/packages/router/src/observability/metrics.ts
+++ b/packages/router/src/observability/metrics.ts
@@ -31,9 +31,11 @@
   /** Times that the idle connections of an endpoint were closed, since one like them said nothing. */
   readonly retiredPools = this.counter('retired_pools', 'Idle connections closed as doubtful', []);
   /** Changes of belief about endpoints. */
-  readonly standings = this.counter('endpoint_standings', 'Changes of standing', ['change']);
+  readonly healthChanges = this.counter('endpoint_standings', 'Changes of standing', ['change']);
   /** Announcements in response headers that changed the recorded state of an endpoint, by kind. */
-  readonly notices = this.counter('endpoint_notices', 'News of endpoints in their own answers', ['notice']);
+  readonly endpointNotices = this.counter('endpoint_notices', 'News of endpoints in their own answers', [
+    'notice',
+  ]);
   /** Calls to the platform, by outcome. */
   readonly platformCalls = this.counter('platform_calls', 'Calls to the platform', ['outcome']);
   /** Era most recently reported by the platform; increases on each restore from a backup. */
@@ -41,7 +43,7 @@
   /** Heartbeats and other frames from peers. */
   readonly peerFrames = this.counter('peer_frames', 'Frames from peers', ['type']);
   /** Boxes of the own hall found to be down, and back. */
-  readonly peerStandings = this.counter('peer_standings', 'Changes of standing of boxes', ['standing']);
+  readonly peerStateChanges = this.counter('peer_standings', 'Changes of standing of boxes', ['standing']);
   /** Changes of what is known against requests that met crashes of endpoints. */
   readonly quarantineChanges = this.counter('quarantine_changes', 'Changes of standing of requests', [
     'change',
--- a/packages/router/src/observability/quarantineLog.ts
+++ b/packages/router/src/observability/quarantineLog.ts
@@ -1,7 +1,7 @@
 /** Tells operators which requests are held against crashes, and by whose report. */
 import { readLastCrashMs } from '../quarantine/crashedRuns.js';
 import type { OnQuarantineChange } from '../quarantine/quarantine.js';
-import type { CrashNewsDelays } from '../quarantine/quarantineRelay.js';
+import type { CrashReportDelays } from '../quarantine/quarantineRelay.js';
 import type { DecisionLog } from './decisionLog.js';
 import type { RouterMetrics } from './metrics.js';
 
@@ -20,7 +20,7 @@
 /** Creates what writes the changes of a quarantine down. */
 export function createQuarantineLog(options: QuarantineLogOptions): OnQuarantineChange {
   const { log, metrics, now, readCount } = options;
-  return (content, change, { runs, crashes, verdict }) => {
+  return (content, change, { runs, crashes, state: verdict }) => {
     metrics.quarantineChanges.inc({ change });
     metrics.quarantined.set(readCount());
     if (crashes < LEAST_TOLD_CRASHES) return;
@@ -29,17 +29,17 @@
       change,
       crashes,
       endpointTags: runs.map((run) => run.endpointTag).join(),
-      witnesses: runs.map((run) => run.witness).join(),
-      endedAgoMs: runs.map((run) => Math.round(now() - run.heardEndAtMs)).join(),
+      witnesses: runs.map((run) => run.reporter).join(),
+      endedAgoMs: runs.map((run) => Math.round(now() - run.localEndAtMs)).join(),
       lastCrashAgoMs: Math.round(now() - readLastCrashMs(runs)),
-      waitMs: verdict.type === 'condemned' ? Math.round(verdict.untilMs - now()) : undefined,
+      waitMs: verdict.type === 'quarantined' ? Math.round(verdict.untilMs - now()) : undefined,
     });
   };
 }
 
 /** Creates what writes down how late the news of crashes came, and where the time went. */
-export function createCrashNewsLog(log: DecisionLog): (delays: CrashNewsDelays) => void {
-  return ({ content, witness, hops, heldMs, delayMs, loopMs }) =>
+export function createCrashReportLog(log: DecisionLog): (delays: CrashReportDelays) => void {
+  return ({ fingerprint: content, reporter: witness, hops, heldMs, delayMs, loopMs }) =>
     log.write('notable', 'crashNews', {
       content,
       witness,
--- a/packages/router/src/peers/configurationSchema.ts
+++ b/packages/router/src/peers/configurationSchema.ts
@@ -40,7 +40,7 @@
 const removed = z.array(z.string());
 
 /** A whole configuration. */
-export const fleetConfiguration: z.ZodType<FleetConfiguration> = z.object({
+export const fleetConfigurationSchema: z.ZodType<FleetConfiguration> = z.object({
   version: z.number(),
   routes: z.array(route),
   services: z.array(service),
@@ -49,7 +49,7 @@
 });
 
 /** What leads from one configuration to another. */
-export const configurationChange: z.ZodType<ConfigurationChange> = z.object({
+export const configurationChangeSchema: z.ZodType<ConfigurationChange> = z.object({
   from: z.number(),
   version: z.number(),
   digest: z.number(),
--- a/packages/router/src/peers/dispatchPeerFrame.ts
+++ b/packages/router/src/peers/dispatchPeerFrame.ts
@@ -1,20 +1,20 @@
 /** Hands what peers tell to the parts of a box that it concerns. */
 import type { QuarantineRelay } from '../quarantine/quarantineRelay.js';
-import type { PromptHomes } from '../systems/promptHomes.js';
+import type { PromptHolders } from '../systems/promptHolders.js';
 import type { PublishedState } from '../systems/publishedState.js';
 import type { FeedRelay } from './feedRelay.js';
 import type { LoadRelay } from './loadRelay.js';
 import type { WorkKind } from '../observability/workMeter.js';
 import type { PeerFrame, RouterFrame } from './peerFrames.js';
-import type { PeerValues } from './peerValues.js';
+import type { PeerValueSync } from './peerValueSync.js';
 
 /** Who listens to peers. */
-export interface PeerListeners {
-  readonly homes: PromptHomes;
-  readonly loads: LoadRelay;
-  readonly crashNews: QuarantineRelay;
-  readonly peerValues: PeerValues;
-  readonly relay: FeedRelay;
+export interface PeerFrameHandlers {
+  readonly promptHolders: PromptHolders;
+  readonly loadRelay: LoadRelay;
+  readonly quarantineRelay: QuarantineRelay;
+  readonly valueSync: PeerValueSync;
+  readonly feedRelay: FeedRelay;
   readonly state: PublishedState;
 }
 
@@ -23,14 +23,21 @@
  *
  * @example dispatchPeerFrame({ type: 'valueRequest', ...question }, listeners) // the values answer it
  */
-export function dispatchPeerFrame(frame: RouterFrame, listeners: PeerListeners): void {
-  const { homes, loads, crashNews, peerValues, relay, state } = listeners;
+export function dispatchPeerFrame(frame: RouterFrame, listeners: PeerFrameHandlers): void {
+  const {
+    promptHolders: homes,
+    loadRelay: loads,
+    quarantineRelay: crashNews,
+    valueSync: peerValues,
+    feedRelay: relay,
+    state,
+  } = listeners;
   switch (frame.type) {
     case 'heartbeat':
-      homes.learn(frame.homes);
+      homes.addReported(frame.homes);
       loads.handleHeartbeat(frame);
-      crashNews.handleGreeting(frame);
-      return peerValues.noteHeartbeat(frame);
+      crashNews.handleHeartbeat(frame);
+      return peerValues.handleHeartbeat(frame);
     case 'feedNotice':
       return relay.handleNotice(frame);
     case 'boxLoads':
@@ -40,15 +47,15 @@
     case 'fleetLoads':
       return loads.handleFleetLoads(frame);
     case 'valueRequest':
-      return peerValues.send(frame);
+      return peerValues.handleRequest(frame);
     case 'configurationValue':
       return state.adoptConfiguration(frame.configuration, 'peer');
     case 'configurationDifference':
-      return peerValues.takeChange(frame.change);
+      return peerValues.applyConfigurationChange(frame.change);
     case 'endpointsValue':
-      return peerValues.takeEndpoints(frame);
+      return peerValues.applyEndpointsValue(frame);
     case 'crashNews':
-      return crashNews.handleNews(frame);
+      return crashNews.handleCrashReports(frame);
   }
 }
 
--- a/packages/router/src/peers/feedRelay.ts
+++ b/packages/router/src/peers/feedRelay.ts
@@ -4,21 +4,21 @@
  */
 import type { DecisionLog } from '../observability/decisionLog.js';
 import type { PublishedState, Publication } from '../systems/publishedState.js';
-import type { FeedCandidate, FeedDuty, FeedFacts, FeedStanding } from '../systems/feedDuty.js';
-import { decideFeedDuty, findFollowerPlace, isCovered, rankFollower } from '../systems/feedDuty.js';
+import type { WatcherCandidate, FeedRole, FeedRoleInput, FeedState } from '../systems/feedRole.js';
+import { decideFeedRole, findWatcherPosition, isFeedLost, rankWatcher } from '../systems/feedRole.js';
 import type { ConfigurationChange } from '../systems/configurationChange.js';
 import type { EndpointChange } from '../systems/endpointDirectory.js';
 import type { EvacuationChange } from '../systems/evacuations.js';
 import type { FeedNotice, Heartbeat } from './peerFrames.js';
 import type { PeerMesh } from './peerMesh.js';
-import { MAX_PASSED_ON_CHARS } from './peerValues.js';
-import type { PeerValues } from './peerValues.js';
+import { MAX_RELAYED_CHARS } from './peerValueSync.js';
+import type { PeerValueSync } from './peerValueSync.js';
 
 /** What the relay works with. */
 export interface FeedRelayOptions {
   readonly mesh: PeerMesh;
   readonly state: PublishedState;
-  readonly values: PeerValues;
+  readonly valueSync: PeerValueSync;
   readonly log: DecisionLog;
   readonly hall: string;
   /** Bandwidth of this box's link. */
@@ -33,7 +33,7 @@
 export class FeedRelay {
   private confirmedAtMs = -Infinity;
   private lostAtMs = -Infinity;
-  private dutyType: FeedDuty['type'] | undefined;
+  private dutyType: FeedRole['type'] | undefined;
   /** Version of the configuration that the hall was told last; 0 before the first. */
   private announcedVersion = 0;
   /** Whether the newest configuration differs little from the one before. */
@@ -42,9 +42,9 @@
   constructor(private readonly options: FeedRelayOptions) {}
 
   /** What this box does about the platform now. */
-  decideDuty(): FeedDuty {
-    const { now, mesh, values, applyBoundMs } = this.options;
-    const facts: FeedFacts = {
+  decideRole(): FeedRole {
+    const { now, mesh, valueSync: values, applyBoundMs } = this.options;
+    const facts: FeedRoleInput = {
       nowMs: now(),
       boxes: mesh.countBoxes(),
       own: this.describeOwn(),
@@ -53,21 +53,21 @@
       applyBoundMs,
       lacksConfiguration: values.mustReadConfiguration(),
     };
-    const duty = decideFeedDuty(facts);
+    const duty = decideFeedRole(facts);
     if (duty.type !== this.dutyType) this.noteDuty(duty, facts);
     return duty;
   }
 
   /** What this box tells of its own reading. */
-  get standing(): FeedStanding {
-    return isCovered(this.lostAtMs, this.options.now()) ? 'lost' : 'able';
+  get feedState(): FeedState {
+    return isFeedLost(this.lostAtMs, this.options.now()) ? 'lost' : 'able';
   }
 
   /** Tells the hall what the platform answered, if this box follows it for the others. */
   announce(publication: Publication): void {
     const { mesh, state, hall } = this.options;
     this.lostAtMs = -Infinity;
-    if (findFollowerPlace(this.describeOwn(), this.listHallPeers()) === undefined) return;
+    if (findWatcherPosition(this.describeOwn(), this.listHallPeers()) === undefined) return;
     const { from, revision, endpointChanges, evacuationChanges } = publication;
     const news = this.describeNews();
     mesh.sendToHall(hall, {
@@ -89,61 +89,61 @@
   }
 
   /** This box cannot read the platform. */
-  noteFeedLost(): void {
+  markFeedLost(): void {
     this.lostAtMs = this.options.now();
   }
 
   /** Takes over what a follower told; asks it for what cannot be had from the notice alone. */
   handleNotice(notice: FeedNotice): void {
-    const { state, values, now } = this.options;
+    const { state, valueSync: values, now } = this.options;
     const { era, revision } = notice;
     if (era === state.listPosition.era && notice.from <= state.endpointsRevision) {
       this.confirmedAtMs = now();
-      state.noteTold(notice.address, notice.unsettledMs);
+      state.recordPeerUpdate(notice.address, notice.unsettledMs);
       if (revision > state.endpointsRevision) {
         const { changes: endpointChanges, evacuations: evacuationChanges } = notice;
         state.applyLists({ endpointChanges, evacuationChanges }, { era, revision }, 'peer');
       }
     }
-    if (notice.configurationChange !== undefined) values.takeChange(notice.configurationChange);
-    values.noteNotice(notice);
+    if (notice.configurationChange !== undefined) values.applyConfigurationChange(notice.configurationChange);
+    values.handleNotice(notice);
   }
 
   /** What changed in the configuration since the last notice, if it is small enough for every box of the hall. */
   private describeNews(): ConfigurationChange | undefined {
     const { state } = this.options;
     if (state.configurationVersion === this.announcedVersion) return undefined;
-    const change = state.describeChange(this.announcedVersion);
-    this.isNewsSmall = change !== undefined && state.measureChange(change) <= MAX_PASSED_ON_CHARS;
+    const change = state.createChangeSince(this.announcedVersion);
+    this.isNewsSmall = change !== undefined && state.measureChange(change) <= MAX_RELAYED_CHARS;
     return this.isNewsSmall ? change : undefined;
   }
 
-  private noteDuty(duty: FeedDuty, facts: FeedFacts): void {
+  private noteDuty(duty: FeedRole, facts: FeedRoleInput): void {
     this.options.log.write('notable', 'feedDuty', {
       duty: duty.type,
       before: this.dutyType,
       boxes: facts.boxes,
       hallPeers: facts.hallPeers.length,
-      standing: facts.own.standing,
+      standing: facts.own.state,
       confirmedAgoMs: Math.round(facts.nowMs - facts.confirmedAtMs),
       lacksConfiguration: facts.lacksConfiguration,
     });
     this.dutyType = duty.type;
   }
 
-  private describeOwn(): FeedCandidate {
+  private describeOwn(): WatcherCandidate {
     const { hash, linkMbps, mesh } = this.options;
-    return { rank: rankFollower(hash(mesh.address), linkMbps), standing: this.standing };
+    return { rank: rankWatcher(hash(mesh.address), linkMbps), state: this.feedState };
   }
 
-  private listHallPeers(): FeedCandidate[] {
+  private listHallPeers(): WatcherCandidate[] {
     const { mesh, hall, hash } = this.options;
     return mesh
-      .listLinked()
+      .listReachable()
       .filter((heartbeat) => heartbeat.hall === hall && !heartbeat.isStopping)
       .map((heartbeat: Heartbeat) => ({
-        rank: rankFollower(hash(heartbeat.address), heartbeat.linkMbps),
-        standing: heartbeat.feed,
+        rank: rankWatcher(hash(heartbeat.address), heartbeat.linkMbps),
+        state: heartbeat.feed,
       }));
   }
 }
--- a/packages/router/src/peers/heartbeats.ts
+++ b/packages/router/src/peers/heartbeatSender.ts
@@ -1,7 +1,7 @@
 /** Builds and sends the heartbeats of a box: to all peers at the pace of the mesh, and on each link that just came up. */
 import type { QuarantineRelay } from '../quarantine/quarantineRelay.js';
 import { listOwnLoads } from '../systems/loadExchange.js';
-import type { HomeList, PromptHomes } from '../systems/promptHomes.js';
+import type { HolderList, PromptHolders } from '../systems/promptHolders.js';
 import type { PublishedState } from '../systems/publishedState.js';
 import type { EndpointTable } from '../tables/endpointTable.js';
 import type { FeedRelay } from './feedRelay.js';
@@ -13,55 +13,55 @@
 const MAX_TOLD_HOMES = 256;
 
 /** What heartbeats are made of. */
-export interface HeartbeatsOptions {
+export interface HeartbeatSenderOptions {
   readonly hall: string;
   /** Bandwidth of the box's link. */
   readonly linkMbps: number;
   readonly mesh: PeerMesh;
   readonly state: PublishedState;
   readonly table: EndpointTable;
-  readonly homes: PromptHomes;
-  readonly loads: LoadRelay;
-  readonly relay: FeedRelay;
-  readonly crashNews: QuarantineRelay;
+  readonly promptHolders: PromptHolders;
+  readonly loadRelay: LoadRelay;
+  readonly feedRelay: FeedRelay;
+  readonly quarantineRelay: QuarantineRelay;
   readonly isStopping: () => boolean;
   readonly now: () => number;
 }
 
 /** The heartbeats of one box. */
-export class Heartbeats {
+export class HeartbeatSender {
   private sentAtMs = 0;
 
-  constructor(private readonly options: HeartbeatsOptions) {}
+  constructor(private readonly options: HeartbeatSenderOptions) {}
 
   /** Runs once a tick; sends a heartbeat to all peers when one is due. */
   tick(nowMs: number): void {
-    const { mesh, homes, loads } = this.options;
-    if (nowMs - this.sentAtMs < mesh.paceMs) return;
+    const { mesh, promptHolders: homes, loadRelay: loads } = this.options;
+    if (nowMs - this.sentAtMs < mesh.heartbeatIntervalMs) return;
     this.sentAtMs = nowMs;
-    const told = mesh.isFlat ? homes.takeUntold(MAX_TOLD_HOMES) : [];
+    const told = mesh.isFullMesh ? homes.takeUnsent(MAX_TOLD_HOMES) : [];
     const prompts = loads.takeDemandForHeartbeat();
     mesh.broadcast({ ...this.create(told), ...(prompts && { prompts }) });
   }
 
   /** What a box on a link that just came up may have missed goes with the first heartbeat. */
-  createGreeting(): Heartbeat {
-    const { loads, crashNews } = this.options;
-    return { ...this.create(loads.listHomesForNewLink()), ...crashNews.createGreeting() };
+  createInitialHeartbeat(): Heartbeat {
+    const { loadRelay: loads, quarantineRelay: crashNews } = this.options;
+    return { ...this.create(loads.listHoldersForNewLink()), ...crashNews.createSnapshot() };
   }
 
   /** Sends a heartbeat to the own hall before the next one is due: what it says of this box has changed. */
-  tellHall(): void {
+  sendToHall(): void {
     const { mesh, hall } = this.options;
     mesh.sendToHall(hall, this.create([]));
   }
 
-  private create(homes: HomeList): Heartbeat {
-    const { hall, linkMbps, mesh, state, table, relay } = this.options;
+  private create(homes: HolderList): Heartbeat {
+    const { hall, linkMbps, mesh, state, table, feedRelay: relay } = this.options;
     return {
       type: 'heartbeat',
       hall,
-      feed: relay.standing,
+      feed: relay.feedState,
       linkMbps,
       address: mesh.address,
       boxes: mesh.countBoxes(),
@@ -69,7 +69,7 @@
       endpointsRevision: state.listPosition.revision,
       era: state.listPosition.era,
       platformReport: state.platformReport,
-      loads: mesh.isFlat ? listOwnLoads(table) : [],
+      loads: mesh.isFullMesh ? listOwnLoads(table) : [],
       homes: [...homes],
       incarnation: mesh.incarnation,
       isStopping: this.options.isStopping(),
--- a/packages/router/src/peers/loadRelay.ts
+++ b/packages/router/src/peers/loadRelay.ts
@@ -4,16 +4,16 @@
  * the speakers of the other halls and the fleet's sum to a few boxes of their own, which pass it on, so that a box sends
  * and reads a few frames a second whatever the size of the fleet.
  */
-import { FreshBook, TOLD_LIFE_MS } from '../systems/freshBook.js';
+import { RecentReports, REPORT_TTL_MS } from '../systems/recentReports.js';
 import type { LoadList, LoadSum } from '../systems/loadExchange.js';
-import { applyPeerLoads, listOwnLoads, subtractLoads, sumTold } from '../systems/loadExchange.js';
+import { applyPeerLoads, listOwnLoads, subtractLoads, sumLoadReports } from '../systems/loadExchange.js';
 import type { PairList } from '../systems/pairList.js';
 import { addPairs } from '../systems/pairList.js';
 import type { PromptDemand } from '../systems/promptDemand.js';
-import { DemandBook } from '../systems/promptDemand.js';
-import type { HomeList, PromptHomes } from '../systems/promptHomes.js';
-import { findHallPlace } from '../membership/hallPlace.js';
-import { planSpread } from '../membership/spreadPlan.js';
+import { DemandAggregate } from '../systems/promptDemand.js';
+import type { HolderList, PromptHolders } from '../systems/promptHolders.js';
+import { findHallPosition } from '../membership/hallPosition.js';
+import { planFanOut } from '../membership/fanOutPlan.js';
 import type { EndpointTable } from '../tables/endpointTable.js';
 import type { BoxLoads, FleetLoads, HallLoads, Heartbeat, LoadCoverage } from './peerFrames.js';
 import type { PeerMesh } from './peerMesh.js';
@@ -40,7 +40,7 @@
 const UNKNOWN_COVERAGE = { boxes: 0, ageMs: 0 } as const;
 
 /** What a box knows of the loads of the others. */
-export interface LoadKnowledge {
+export interface LoadViewStatus {
   /** `missing`: nothing was heard for so long that the loads of others count as none. */
   readonly extent: 'whole' | 'partial' | 'missing';
   /** Boxes whose loads are known, this one included. */
@@ -53,7 +53,7 @@
 export interface LoadRelayOptions {
   readonly mesh: PeerMesh;
   readonly table: EndpointTable;
-  readonly homes: PromptHomes;
+  readonly promptHolders: PromptHolders;
   readonly demand: PromptDemand;
   readonly hall: string;
   readonly hash: (text: string) => number;
@@ -61,14 +61,14 @@
   readonly random: () => number;
   readonly now: () => number;
   /** Called twice a second, and with each heartbeat in a small fleet. */
-  readonly onKnowledge: (knowledge: LoadKnowledge) => void;
+  readonly onViewStatus: (knowledge: LoadViewStatus) => void;
 }
 
 /** One box's part in spreading loads. */
 export class LoadRelay {
-  private readonly boxes = new FreshBook<LoadSum>();
-  private readonly halls = new FreshBook<LoadSum>();
-  private readonly demands = new DemandBook();
+  private readonly boxes = new RecentReports<LoadSum>();
+  private readonly halls = new RecentReports<LoadSum>();
+  private readonly demands = new DemandAggregate();
   private untoldDemand: PairList[] = [];
   private demandAtMs = -Infinity;
   private tickedAtMs = -Infinity;
@@ -90,31 +90,32 @@
   tick(): void {
     const { mesh, now } = this.options;
     const nowMs = now();
-    if (mesh.isFlat) this.updateDemand(nowMs);
-    if (nowMs - this.tickedAtMs < (mesh.isFlat ? mesh.paceMs : LOADS_MS)) return;
+    if (mesh.isFullMesh) this.updateDemand(nowMs);
+    if (nowMs - this.tickedAtMs < (mesh.isFullMesh ? mesh.heartbeatIntervalMs : LOADS_MS)) return;
     this.tickedAtMs = nowMs;
-    if (mesh.isFlat) this.takeFromHeartbeats(nowMs);
+    if (mesh.isFullMesh) this.takeFromHeartbeats(nowMs);
     else this.takePart(nowMs);
-    this.options.onKnowledge(this.readKnowledge());
+    this.options.onViewStatus(this.readViewStatus());
   }
 
   /** What this box knows of the loads of the others. */
-  readKnowledge(): LoadKnowledge {
+  readViewStatus(): LoadViewStatus {
     const { mesh, now } = this.options;
-    const ageMs = this.readAgeMs();
-    if (!mesh.isFlat && now() - this.takenAtMs > TOLD_LIFE_MS) return { extent: 'missing', boxes: 1, ageMs };
+    const ageMs = this.readLoadAgeMs();
+    if (!mesh.isFullMesh && now() - this.takenAtMs > REPORT_TTL_MS)
+      return { extent: 'missing', boxes: 1, ageMs };
     const { boxes } = this.taken;
     return { extent: boxes < WHOLE_SHARE * mesh.countBoxes() ? 'partial' : 'whole', boxes, ageMs };
   }
 
   /** How old the oldest loads are that this box knows; infinite before the first. */
-  readAgeMs(): number {
+  readLoadAgeMs(): number {
     return this.taken.ageMs + this.options.now() - this.takenAtMs;
   }
 
   /** In a small fleet, what this box was asked for since its last heartbeat: each box adds up what all tell. */
   takeDemandForHeartbeat(): number[] | undefined {
-    if (!this.options.mesh.isFlat) return undefined;
+    if (!this.options.mesh.isFullMesh) return undefined;
     this.collectOwnDemand();
     const prompts = [...addPairs(this.untoldDemand)];
     this.untoldDemand = [];
@@ -123,51 +124,51 @@
 
   /** A peer's heartbeat tells what it was asked for. */
   handleHeartbeat({ prompts = [] }: Heartbeat): void {
-    this.demands.noteBox(prompts);
+    this.demands.addBoxCounts(prompts);
   }
 
   /** A box of the hall tells its loads to this speaker. */
   handleBoxLoads(frame: BoxLoads): void {
-    this.options.homes.learn(frame.homes);
+    this.options.promptHolders.addReported(frame.homes);
     this.keepHomesForAll(frame.homes);
-    this.demands.noteBox(frame.prompts);
-    this.boxes.note(frame.address, { loads: frame.loads, boxes: 1, ageMs: 0 }, this.options.now());
-    if (this.demands.takeNews()) this.speakEarly();
+    this.demands.addBoxCounts(frame.prompts);
+    this.boxes.record(frame.address, { loads: frame.loads, boxes: 1, ageMs: 0 }, this.options.now());
+    if (this.demands.takeNewlyHot()) this.speakEarly();
   }
 
   /** The speaker of another hall tells its sum. */
   handleHallLoads(frame: HallLoads): void {
     if (frame.hall === this.options.hall) return;
-    this.options.homes.learn(frame.homes);
+    this.options.promptHolders.addReported(frame.homes);
     this.keepHomes(frame.homes, this.hallHomes);
-    this.demands.noteHall(frame.hall, frame.prompts, this.options.now());
+    this.demands.setHallCounts(frame.hall, frame.prompts, this.options.now());
     const { boxes, ageMs } = frame.coverage ?? UNKNOWN_COVERAGE;
-    this.halls.note(frame.hall, { loads: frame.loads, boxes, ageMs }, this.options.now());
+    this.halls.record(frame.hall, { loads: frame.loads, boxes, ageMs }, this.options.now());
   }
 
   /** The speaker of this hall tells what all boxes have. */
   handleFleetLoads(frame: FleetLoads): void {
     this.heardFleetAtMs = this.options.now();
-    this.options.homes.learn(frame.homes);
-    this.options.demand.learn(frame.prompts, this.heardFleetAtMs);
+    this.options.promptHolders.addReported(frame.homes);
+    this.options.demand.setHotPrompts(frame.prompts, this.heardFleetAtMs);
     this.take([subtractLoads(frame.loads, this.toldLoads)], frame.coverage ?? UNKNOWN_COVERAGE);
     this.spread(frame, frame.passTo);
   }
 
   /** What a box on a new link is told of the homes of prompts: all in a small fleet, by the speakers in a large one. */
-  listHomesForNewLink(): HomeList {
-    const { mesh, homes } = this.options;
-    return mesh.isFlat || this.findPlace() === 0 ? homes.listNewest(MAX_HOMES_ON_NEW_LINK) : [];
+  listHoldersForNewLink(): HolderList {
+    const { mesh, promptHolders: homes } = this.options;
+    return mesh.isFullMesh || this.findPlace() === 0 ? homes.listRecent(MAX_HOMES_ON_NEW_LINK) : [];
   }
 
   /** What a box of this hall learned is told at home and to the other halls. */
-  private keepHomesForAll(homes: HomeList): void {
+  private keepHomesForAll(homes: HolderList): void {
     this.keepHomes(homes, this.hallHomes);
     this.keepHomes(homes, this.fleetHomes);
   }
 
   /** Keeps homes for the next sums; a box that does not speak keeps the newest, in case that it has to. */
-  private keepHomes(homes: HomeList, kept: number[]): void {
+  private keepHomes(homes: HolderList, kept: number[]): void {
     kept.push(...homes);
     if (kept.length > 2 * MAX_KEPT_PAIRS) kept.splice(0, kept.length - 2 * MAX_KEPT_PAIRS);
   }
@@ -175,16 +176,16 @@
   /** Tells this box's loads, and those of all if it speaks. */
   private takePart(nowMs: number): void {
     this.tellSpeakers();
-    this.demands.advance(nowMs);
+    this.demands.endPeriod(nowMs);
     if (this.mustSpeak(nowMs)) this.speak(nowMs);
-    else if (nowMs - this.heardFleetAtMs > TOLD_LIFE_MS) applyPeerLoads(this.options.table, []);
+    else if (nowMs - this.heardFleetAtMs > REPORT_TTL_MS) applyPeerLoads(this.options.table, []);
   }
 
   /** Keeps what this box was asked for, for its next heartbeat; old lists go if none is sent. */
   private collectOwnDemand(): void {
     const counts = this.options.demand.takeCounts();
     if (counts.length === 0) return;
-    this.demands.noteBox(counts);
+    this.demands.addBoxCounts(counts);
     this.untoldDemand = [...this.untoldDemand, counts].slice(-MAX_UNTOLD_LISTS);
   }
 
@@ -193,14 +194,14 @@
     if (nowMs - this.demandAtMs < LOADS_MS) return;
     this.demandAtMs = nowMs;
     this.collectOwnDemand();
-    this.demands.advance(nowMs);
-    this.options.demand.learn(this.demands.listHot(), nowMs);
+    this.demands.endPeriod(nowMs);
+    this.options.demand.setHotPrompts(this.demands.listHot(), nowMs);
   }
 
   private takeFromHeartbeats(nowMs: number): void {
     const { mesh } = this.options;
-    const peers = mesh.listFresh();
-    const ageMs = Math.max(0, ...peers.map((peer) => nowMs - peer.heardAtMs));
+    const peers = mesh.listRecentlySeen();
+    const ageMs = Math.max(0, ...peers.map((peer) => nowMs - peer.lastSeenAtMs));
     this.take(
       peers.map((peer) => peer.heartbeat.loads),
       { boxes: peers.length + 1, ageMs },
@@ -215,12 +216,12 @@
   }
 
   private tellSpeakers(): void {
-    const { mesh, table, hall, homes, demand } = this.options;
+    const { mesh, table, hall, promptHolders: homes, demand } = this.options;
     this.toldLoads = listOwnLoads(table);
-    const news = homes.takeUntold(MAX_KEPT_PAIRS);
+    const news = homes.takeUnsent(MAX_KEPT_PAIRS);
     this.keepHomesForAll(news);
     const prompts = demand.takeCounts();
-    this.demands.noteBox(prompts);
+    this.demands.addBoxCounts(prompts);
     const frame: BoxLoads = {
       type: 'boxLoads',
       address: mesh.address,
@@ -245,7 +246,7 @@
     const nowMs = this.options.now();
     if (this.spokeEarlyAtMs >= this.tickedAtMs || !this.mustSpeak(nowMs)) return;
     this.spokeEarlyAtMs = nowMs;
-    this.demands.refresh(nowMs);
+    this.demands.updateHot(nowMs);
     this.speak(nowMs);
   }
 
@@ -254,14 +255,14 @@
     const { ownHall, others, fleet } = this.addUp(nowMs);
     this.take([others], fleet);
     const hot = this.demands.listHot();
-    demand.learn(hot, nowMs);
+    demand.setHotPrompts(hot, nowMs);
     const hallFrame: HallLoads = {
       type: 'hallLoads',
       hall,
       loads: [...ownHall.loads],
       coverage: toCoverage(ownHall),
       homes: this.fleetHomes.splice(0),
-      prompts: this.demands.listHall(),
+      prompts: this.demands.listHallCounts(),
     };
     for (const address of this.listSpeakers((other) => other !== hall)) mesh.send(address, hallFrame);
     const fleetFrame: FleetLoads = {
@@ -277,8 +278,8 @@
 
   /** What the own hall holds, what all boxes but this one hold, and what all hold. */
   private addUp(nowMs: number): { ownHall: LoadSum; others: LoadList; fleet: LoadSum } {
-    const hallPeers = sumTold(this.boxes.listFresh(nowMs), nowMs);
-    const halls = sumTold(this.halls.listFresh(nowMs), nowMs);
+    const hallPeers = sumLoadReports(this.boxes.listRecent(nowMs), nowMs);
+    const halls = sumLoadReports(this.halls.listRecent(nowMs), nowMs);
     const others = addPairs([hallPeers.loads, halls.loads]);
     const boxes = hallPeers.boxes + 1;
     return {
@@ -310,7 +311,7 @@
     if (ranks.length === 0) return;
     const { mesh } = this.options;
     const addresses = new Map(this.listHallPeers().map(({ address }) => [this.rank(address), address]));
-    for (const { head, passTo } of planSpread(ranks, (rank) => addresses.has(rank))) {
+    for (const { receiver: head, passTo } of planFanOut(ranks, (rank) => addresses.has(rank))) {
       const address = addresses.get(head);
       if (address !== undefined) mesh.send(address, { ...frame, passTo: [...passTo] });
     }
@@ -333,7 +334,7 @@
   /** How many live boxes of the hall rank before this one. */
   private findPlace(): number {
     const { mesh, hall } = this.options;
-    return findHallPlace(mesh, hall, (address) => this.rank(address));
+    return findHallPosition(mesh, hall, (address) => this.rank(address));
   }
 
   private listHallPeers(): Heartbeat[] {
@@ -341,7 +342,7 @@
   }
 
   private listLive(): Heartbeat[] {
-    return this.options.mesh.listLinked().filter((heartbeat) => !heartbeat.isStopping);
+    return this.options.mesh.listReachable().filter((heartbeat) => !heartbeat.isStopping);
   }
 
   private rank(address: string): number {
--- a/packages/router/src/peers/peerFrameCodec.ts
+++ b/packages/router/src/peers/peerFrameCodec.ts
@@ -3,7 +3,7 @@
 import type { Problem, Result } from '@hazelwalk/core';
 import { Encoder } from 'cbor-x';
 import type { PeerFrame } from './peerFrames.js';
-import { peerFrame } from './peerFrames.js';
+import { peerFrameSchema } from './peerFrames.js';
 
 const LENGTH_BYTES = 4;
 /** A configuration holds at most a megabyte; the rest is small. */
@@ -66,7 +66,7 @@
 
 function decodePayload(payload: Buffer): Result<PeerFrame, Problem> {
   try {
-    const parsed = peerFrame.safeParse(cbor.decode(payload));
+    const parsed = peerFrameSchema.safeParse(cbor.decode(payload));
     if (parsed.success) return Ok(parsed.data);
     return Err({
       code: 'frameMalformed',
--- a/packages/router/src/peers/peerFrames.ts
+++ b/packages/router/src/peers/peerFrames.ts
@@ -4,8 +4,8 @@
  */
 import * as z from 'zod';
 import type { ListedEndpoint } from '../records.js';
-import type { PlatformReport } from '../systems/platformContact.js';
-import { configurationChange, fleetConfiguration } from './configurationSchema.js';
+import type { PlatformReport } from '../systems/platformConnectivity.js';
+import { configurationChangeSchema, fleetConfigurationSchema } from './configurationSchema.js';
 
 /** Lists of numbers are most of what large frames hold; the library would check each entry by a schema of its own. */
 const numberList = z.custom<number[]>(
@@ -169,11 +169,11 @@
 });
 const configurationValue = z.object({
   type: z.literal('configurationValue'),
-  configuration: fleetConfiguration,
+  configuration: fleetConfigurationSchema,
 });
 const configurationDifference = z.object({
   type: z.literal('configurationDifference'),
-  change: configurationChange,
+  change: configurationChangeSchema,
 });
 const endpointsValue = z.object({
   type: z.literal('endpointsValue'),
@@ -208,7 +208,7 @@
   /** Little changed in the configuration lately: what did is told on request. */
   isConfigurationChangeSmall: z.boolean(),
   /** What changed in the configuration since the sender's last notice, unless that is large. */
-  configurationChange: configurationChange.optional(),
+  configurationChange: configurationChangeSchema.optional(),
   changes: z.array(
     z.discriminatedUnion('type', [
       z.object({ type: z.literal('listed'), endpoint: listedEndpoint }),
@@ -273,7 +273,7 @@
   cleared: z.array(z.string()),
 });
 /** Checks a decoded frame. */
-export const peerFrame = z.discriminatedUnion('type', [
+export const peerFrameSchema = z.discriminatedUnion('type', [
   heartbeat,
   heartbeatHeard,
   introduction,
@@ -305,7 +305,7 @@
 /** A question for a sign of life. */
 export type Probe = z.infer<typeof probe>;
 /** The answer to a probe. */
-export type ProbeHeard = z.infer<typeof probeHeard>;
+export type ProbeAck = z.infer<typeof probeHeard>;
 /** A question to probe another box. */
 export type ProbeRequest = z.infer<typeof probeRequest>;
 /** Says that a box gives no sign of life. */
@@ -331,11 +331,11 @@
 /** A run of a request that ended with its endpoint, as boxes tell each other. */
 export type CrashedRunReport = z.infer<typeof crashedRunReport>;
 /** A request that is sent to endpoints no more, as boxes tell each other. */
-export type CondemnedRequest = z.infer<typeof condemnedRequest>;
+export type QuarantinedRequest = z.infer<typeof condemnedRequest>;
 /** What was seen of requests that may crash their endpoints. */
-export type CrashNews = z.infer<typeof crashNews>;
+export type CrashReports = z.infer<typeof crashNews>;
 /** A frame between boxes. */
-export type PeerFrame = z.infer<typeof peerFrame>;
+export type PeerFrame = z.infer<typeof peerFrameSchema>;
 
 /** Types of the frames about who is in the fleet and who is up. */
 const MEMBERSHIP_TYPES = [
--- a/packages/router/src/peers/peerLinks.ts
+++ b/packages/router/src/peers/peerLinks.ts
@@ -28,12 +28,12 @@
   readonly transport: PeerTransport;
   readonly now: () => number;
   /** What to send on a link that just came up. */
-  readonly createGreetings: (address: string) => readonly PeerFrame[];
+  readonly createInitialFrames: (address: string) => readonly PeerFrame[];
   /** A frame came on a link. */
   readonly onFrame: (frame: PeerFrame, answer: (frame: PeerFrame) => void) => void;
   readonly onProblem: ConnectionEvents['onProblem'];
   /** Whether an address is worth an attempt at the fast pace. */
-  readonly isLikelyThere: (address: string) => boolean;
+  readonly isLikelyReachable: (address: string) => boolean;
 }
 
 /** All links that one box made. */
@@ -76,7 +76,7 @@
   }
 
   /** Makes the link to an address anew: it may have gone silent. */
-  renew(address: string): void {
+  reconnect(address: string): void {
     const link = this.links.get(address);
     if (link === undefined) return;
     this.breakLink(link);
@@ -126,7 +126,7 @@
   }
 
   private readPaceMs(address: string): number {
-    if (!this.options.isLikelyThere(address)) return SLOW_REDIAL_MS;
+    if (!this.options.isLikelyReachable(address)) return SLOW_REDIAL_MS;
     const isAlone = ![...this.links.values()].some((link) => link.connection?.isUp === true);
     return isAlone ? LONE_REDIAL_MS : REDIAL_MS;
   }
@@ -139,7 +139,7 @@
 
   private dial(link: PeerLink): void {
     if (this.isClosed) return;
-    const { transport, createGreetings, onFrame, onProblem, now } = this.options;
+    const { transport, createInitialFrames: createGreetings, onFrame, onProblem, now } = this.options;
     link.dialledAtMs = now();
     const connection: PeerConnection = transport.connect(link.address, {
       onUp: () => {
--- a/packages/router/src/peers/peerMesh.ts
+++ b/packages/router/src/peers/peerMesh.ts
@@ -40,12 +40,12 @@
   /** What to say on a link that just came up. */
   readonly createHeartbeat: () => Heartbeat;
   /** Called for every frame that is read. */
-  readonly onRead: (type: PeerFrame['type']) => void;
+  readonly onFrameRead: (type: PeerFrame['type']) => void;
   /** Frames that are not about membership, and heartbeats. */
   readonly onFrame: (frame: RouterFrame) => void;
   readonly onProblem: (problem: Problem) => void;
   /** A box of the own hall was found to be down, or is back. */
-  readonly onStanding: (address: string, standing: 'down' | 'up', because: string) => void;
+  readonly onStateChange: (address: string, standing: 'down' | 'up', because: string) => void;
 }
 
 /** What the mesh needs to know of its box. */
@@ -63,16 +63,16 @@
 }
 
 /** What is known of a peer that sent a heartbeat. */
-export interface PeerState {
+export interface KnownPeer {
   readonly heartbeat: Heartbeat;
-  readonly heardAtMs: number;
+  readonly lastSeenAtMs: number;
 }
 
 type Answer = (frame: PeerFrame) => void;
 
 /** All links of one box. */
 export class PeerMesh {
-  private readonly peers = new Map<string, PeerState>();
+  private readonly peers = new Map<string, KnownPeer>();
   private readonly directory: FleetDirectory;
   private readonly detector: FailureDetector;
   private readonly links: PeerLinks;
@@ -109,10 +109,10 @@
     this.links = new PeerLinks({
       transport,
       now,
-      createGreetings: (address) => this.createGreetings(address),
+      createInitialFrames: (address) => this.createGreetings(address),
       onFrame: (frame, answer) => this.handleFrame(frame, answer),
       onProblem: (problem) => handlers.onProblem(problem),
-      isLikelyThere: (address) => this.directory.isLikelyThere(address),
+      isLikelyReachable: (address) => this.directory.isLikelyReachable(address),
     });
   }
 
@@ -135,31 +135,31 @@
   }
 
   /** Time between two heartbeats. */
-  get paceMs(): number {
-    if (this.isFlat) return Math.max(HEARTBEAT_MS, HEARTBEAT_MS_PER_BOX * this.countBoxes());
+  get heartbeatIntervalMs(): number {
+    if (this.isFullMesh) return Math.max(HEARTBEAT_MS, HEARTBEAT_MS_PER_BOX * this.countBoxes());
     return Math.max(SPARSE_HEARTBEAT_MS, SPARSE_HEARTBEAT_MS_PER_BOX * this.links.size);
   }
 
   /** Whether the fleet is small enough for every box to tell every other its loads. */
-  get isFlat(): boolean {
-    return this.directory.isFlat;
+  get isFullMesh(): boolean {
+    return this.directory.isFullMesh;
   }
 
   /** Peers that were heard lately. */
-  listFresh(): PeerState[] {
+  listRecentlySeen(): KnownPeer[] {
     const leastMs = this.now() - this.lifeMs;
-    return [...this.peers.values()].filter((peer) => peer.heardAtMs >= leastMs);
+    return [...this.peers.values()].filter((peer) => peer.lastSeenAtMs >= leastMs);
   }
 
   /** Last heartbeats of the fresh peers to which a link is up and that are not down. */
-  listLinked(): Heartbeat[] {
-    return this.listFresh()
+  listReachable(): Heartbeat[] {
+    return this.listRecentlySeen()
       .map((peer) => peer.heartbeat)
       .filter(({ address }) => this.links.isUp(address) && !this.detector.isDown(address));
   }
 
   /** Whether this box has heard of another one, or was told that there is none. */
-  get hasMetOthers(): boolean {
+  get hasJoinedFleet(): boolean {
     return this.peers.size > 0 || this.options.seeds.every((seed) => seed === this.ownAddress);
   }
 
@@ -185,7 +185,7 @@
   tick(): void {
     const nowMs = this.now();
     if (nowMs - this.maintainedAtMs >= MAINTAIN_MS) this.maintainLinks();
-    if (!this.isFlat) this.apply(this.detector.tick(() => this.listHallLinks(), nowMs));
+    if (!this.isFullMesh) this.apply(this.detector.tick(() => this.listHallLinks(), nowMs));
   }
 
   /** Sends a heartbeat to all peers, and what is due beside it. */
@@ -194,7 +194,7 @@
     this.links.writeToAll(encodePeerFrame(heartbeat));
     this.heartbeatCount += 1;
     if (this.heartbeatCount % INTRODUCE_EVERY === 1) this.introduceToOne();
-    if (this.heartbeatCount % SUMMARY_EVERY === 0 && !this.isFlat)
+    if (this.heartbeatCount % SUMMARY_EVERY === 0 && !this.isFullMesh)
       this.tellSummary(this.directory.createSummary());
   }
 
@@ -225,7 +225,7 @@
 
   /** How long a peer counts as heard: so many of its heartbeats may be missed. */
   private get lifeMs(): number {
-    return (this.isFlat ? MISSED_HEARTBEATS : MISSED_SPARSE_HEARTBEATS) * this.paceMs;
+    return (this.isFullMesh ? MISSED_HEARTBEATS : MISSED_SPARSE_HEARTBEATS) * this.heartbeatIntervalMs;
   }
 
   /** Boxes of the own hall to which a link is up, also those found to be down. */
@@ -238,8 +238,8 @@
     const nowMs = this.now();
     this.maintainedAtMs = nowMs;
     this.forgetSilent(nowMs);
-    this.links.maintain(new Set(this.directory.listWanted()), this.lifeMs);
-    if (this.isFlat) return;
+    this.links.maintain(new Set(this.directory.listLinkTargets()), this.lifeMs);
+    if (this.isFullMesh) return;
     const summary = this.directory.createSummary();
     if (summarize(summary) !== this.toldSummary) this.tellSummary(summary);
     this.tellHallsIfNew();
@@ -248,7 +248,7 @@
   /** Boxes that are replaced leave nothing behind; one that returns after so long is taken as a new one. */
   private forgetSilent(nowMs: number): void {
     for (const [address, peer] of this.peers) {
-      if (nowMs - peer.heardAtMs <= PEER_LIFE_MS) continue;
+      if (nowMs - peer.lastSeenAtMs <= PEER_LIFE_MS) continue;
       this.peers.delete(address);
       this.detector.forget(address);
     }
@@ -257,13 +257,13 @@
   /** A box of another hall learns at once who speaks for this one. */
   private createGreetings(address: string): PeerFrame[] {
     const heartbeat = this.handlers.createHeartbeat();
-    if (this.isFlat || !this.directory.isAway(address)) return [heartbeat];
+    if (this.isFullMesh || !this.directory.isInOtherHall(address)) return [heartbeat];
     const summary = this.directory.createSummary();
     return summary.addresses.includes(this.ownAddress) ? [heartbeat, summary] : [heartbeat];
   }
 
   private introduceToOne(): void {
-    const peers = this.listLinked();
+    const peers = this.listReachable();
     const peer = peers[Math.floor(this.options.random() * peers.length)];
     if (peer !== undefined) this.send(peer.address, this.directory.createIntroduction(peer.hall));
   }
@@ -282,7 +282,7 @@
     const nowMs = this.now();
     const { hallsRevision } = this.directory;
     if (hallsRevision === this.toldHallsRevision || nowMs - this.toldHallsAtMs < TELL_HALLS_MS) return;
-    if (this.directory.findPlace() !== 0) return;
+    if (this.directory.findPosition() !== 0) return;
     this.toldHallsAtMs = nowMs;
     this.toldHallsRevision = hallsRevision;
     const { hall } = this.options;
@@ -315,7 +315,7 @@
 
   /** @param answer sends a frame back on the connection on which this one came */
   private handleFrame(frame: PeerFrame, answer: Answer): void {
-    this.handlers.onRead(frame.type);
+    this.handlers.onFrameRead(frame.type);
     if (isMembershipFrame(frame)) return this.handleMembership(frame, answer);
     if (frame.type === 'heartbeat') this.noteHeartbeat(frame, answer);
     this.handlers.onFrame(frame);
@@ -328,34 +328,34 @@
         // Counts for the link that it came on, which has noted it.
         return;
       case 'introduction':
-        this.directory.noteIntroduction(frame);
+        this.directory.handleIntroduction(frame);
         return this.maintainLinks();
       case 'hallSummary':
-        return this.directory.noteSummary(frame);
+        return this.directory.handleSummary(frame);
       case 'probe':
         answer(this.detector.answerProbe(frame));
-        return this.apply(this.detector.noteIncarnation(frame.address, frame.incarnation));
+        return this.apply(this.detector.recordIncarnation(frame.address, frame.incarnation));
       case 'probeHeard':
-        return this.apply(this.detector.handleProbeHeard(frame, nowMs));
+        return this.apply(this.detector.handleProbeAck(frame, nowMs));
       case 'probeRequest':
         return this.apply(this.detector.handleProbeRequest(frame, nowMs));
       case 'boxDown':
         return this.apply(this.detector.handleBoxDown(frame));
       case 'boxUp':
-        return this.apply(this.detector.noteIncarnation(frame.address, frame.incarnation));
+        return this.apply(this.detector.recordIncarnation(frame.address, frame.incarnation));
     }
   }
 
   private noteHeartbeat(heartbeat: Heartbeat, answer: Answer): void {
     const { address, incarnation } = heartbeat;
     const before = this.peers.get(address)?.heartbeat.incarnation ?? incarnation;
-    this.directory.noteHeard(heartbeat);
-    this.peers.set(address, { heartbeat, heardAtMs: this.now() });
-    this.apply(this.detector.noteIncarnation(address, incarnation));
-    const accusation = this.detector.findAccusation(address);
+    this.directory.markSeen(heartbeat);
+    this.peers.set(address, { heartbeat, lastSeenAtMs: this.now() });
+    this.apply(this.detector.recordIncarnation(address, incarnation));
+    const accusation = this.detector.findDownReport(address);
     if (accusation !== undefined) answer(accusation);
     // A peer that started again is there before the next attempt to reach it, and has no use for a link to its past.
-    if (incarnation > before) this.links.renew(address);
+    if (incarnation > before) this.links.reconnect(address);
     else this.links.redialNow(address);
   }
 
@@ -365,17 +365,17 @@
         case 'send':
           this.send(effect.to, effect.frame);
           break;
-        case 'tellHall':
+        case 'sendToHall':
           this.sendToHall(this.options.hall, effect.frame);
           break;
         case 'down':
-          this.handlers.onStanding(effect.address, 'down', effect.because);
+          this.handlers.onStateChange(effect.address, 'down', effect.because);
           break;
         case 'up':
-          this.handlers.onStanding(effect.address, 'up', 'newer life');
+          this.handlers.onStateChange(effect.address, 'up', 'newer life');
           break;
-        case 'linkDoubted':
-          this.links.renew(effect.address);
+        case 'reconnectLink':
+          this.links.reconnect(effect.address);
           break;
       }
     }
--- a/packages/router/src/peers/peerValues.ts
+++ b/packages/router/src/peers/peerValueSync.ts
@@ -20,10 +20,10 @@
  */
 const STUCK_SHARE = 1 / 2;
 /** What is larger is read from the platform: links between boxes are thin, and one box may serve a hall. */
-export const MAX_PASSED_ON_CHARS = 16_384;
+export const MAX_RELAYED_CHARS = 16_384;
 
 /** What this box has, and how it reaches its peers. */
-export interface PeerValuesOptions {
+export interface PeerValueSyncOptions {
   readonly mesh: PeerMesh;
   readonly state: PublishedState;
   readonly log: DecisionLog;
@@ -33,7 +33,7 @@
 }
 
 /** Asks peers for newer values and answers such questions. */
-export class PeerValues {
+export class PeerValueSync {
   private askedAtMs = -Infinity;
   /** Newest configuration that a peer has, and since when this box lacks it. */
   private heardVersion = 0;
@@ -45,32 +45,32 @@
   /** The newest configuration is too large to come from the follower, and so is what changed in it. */
   private isLeftToPlatform = false;
 
-  constructor(private readonly options: PeerValuesOptions) {}
+  constructor(private readonly options: PeerValueSyncOptions) {}
 
   /** Asks the sender of a heartbeat for what it has newer and this box should have had by now. */
-  noteHeartbeat(heartbeat: Heartbeat): void {
+  handleHeartbeat(heartbeat: Heartbeat): void {
     const { state, now } = this.options;
     this.noteVersion(heartbeat.configurationVersion);
     const isOverdue = now() - this.lacksSinceMs >= this.patienceMs;
     const isNewer = heartbeat.configurationVersion > state.configurationVersion;
     // A box that knows nothing yet has nothing to wait for.
-    const lacksConfiguration = isNewer && (isOverdue || !state.isInformed);
+    const lacksConfiguration = isNewer && (isOverdue || !state.isInitialized);
     const { address, platformReport, era, endpointsRevision } = heartbeat;
     const position = { era, revision: endpointsRevision };
     const own = state.listPosition;
     const lacksEndpoints = isNewerPosition(position, own);
-    if (platformReport === undefined) state.noteWithdrawn(address);
-    else if (!lacksEndpoints && era === own.era) state.noteConfirmed(address, platformReport);
+    if (platformReport === undefined) state.removePeerReport(address);
+    else if (!lacksEndpoints && era === own.era) state.recordPeerConfirmation(address, platformReport);
     const isStuck = this.isListStuck(position);
-    const mustAsk = era > own.era || isStuck || !state.isFollowing;
+    const mustAsk = era > own.era || isStuck || !state.isReceivingUpdates;
     this.ask(heartbeat.address, lacksConfiguration, lacksEndpoints && mustAsk);
   }
 
   /** Asks the box that follows the platform for what its notice did not hold. */
-  noteNotice(notice: FeedNotice): void {
+  handleNotice(notice: FeedNotice): void {
     const { state, now } = this.options;
     this.noteVersion(notice.configurationVersion);
-    const isSmall = notice.configurationChars <= MAX_PASSED_ON_CHARS || notice.isConfigurationChangeSmall;
+    const isSmall = notice.configurationChars <= MAX_RELAYED_CHARS || notice.isConfigurationChangeSmall;
     if (notice.configurationVersion >= this.heardVersion) this.isLeftToPlatform = !isSmall;
     const isOverdue = now() - this.lacksSinceMs >= this.patienceMs;
     const isNewer = notice.configurationVersion > state.configurationVersion;
@@ -89,10 +89,10 @@
   }
 
   /** Takes over what a peer says changed in the configuration. What does not fit is asked for, or read, as a whole. */
-  takeChange(change: ConfigurationChange): void {
+  applyConfigurationChange(change: ConfigurationChange): void {
     const { state, log } = this.options;
     this.noteVersion(change.version);
-    const adopted = state.adoptChange(change);
+    const adopted = state.adoptConfigurationChange(change);
     if (adopted.ok) return;
     log.write('notable', 'configurationChangeUnused', {
       reason: adopted.val,
@@ -103,7 +103,7 @@
   }
 
   /** Answers the question of a peer: with what changed since the version that it has, where that is known and small. */
-  send(request: ValueRequest): void {
+  handleRequest(request: ValueRequest): void {
     const { mesh, state } = this.options;
     switch (request.value) {
       case 'configuration':
@@ -123,12 +123,12 @@
   }
 
   /** Takes over the whole list of endpoints that a peer told, unless this box has a newer one. */
-  takeEndpoints(value: EndpointsValue): void {
+  applyEndpointsValue(value: EndpointsValue): void {
     const { state } = this.options;
     const { era, revision, endpoints, lapsed, evacuatedHalls, address, platformReport } = value;
     const position = { era, revision };
     if (isNewerPosition(state.listPosition, position)) return;
-    if (platformReport !== undefined) state.noteConfirmed(address, platformReport);
+    if (platformReport !== undefined) state.recordPeerConfirmation(address, platformReport);
     if (!isNewerPosition(position, state.listPosition)) return;
     const endpointChanges = [{ type: 'snapshot', endpoints, lapsed }] as const;
     // A box that does not know of such orders says nothing about them.
@@ -139,8 +139,8 @@
 
   private sendConfiguration(request: ValueRequest): void {
     const { mesh, state } = this.options;
-    const change = state.describeChange(request.configurationVersion);
-    if (change !== undefined && state.measureChange(change) <= MAX_PASSED_ON_CHARS) {
+    const change = state.createChangeSince(request.configurationVersion);
+    if (change !== undefined && state.measureChange(change) <= MAX_RELAYED_CHARS) {
       return mesh.send(request.address, { type: 'configurationDifference', change });
     }
     const configuration = state.index?.configuration;
--- a/packages/router/src/proxy/attempt.ts
+++ b/packages/router/src/proxy/attempt.ts
@@ -4,9 +4,9 @@
  */
 import type { Socket } from 'node:net';
 import type { Dispatcher } from 'undici';
-import type { AnswerHeaders, HttpDialect } from '../httpDialect.js';
-import type { AnswerFacts } from '../records.js';
-import type { HealthSign } from '../systems/endpointHealth.js';
+import type { ResponseHeaders, HttpDialect } from '../httpDialect.js';
+import type { ResponseMetadata } from '../records.js';
+import type { HealthSignal } from '../systems/endpointHealth.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 import { isCloseDelimited } from './forwardHeaders.js';
 import type { ConnectFailure, EndpointConnection, EndpointConnections } from './endpointConnections.js';
@@ -23,8 +23,8 @@
 /** The head of an answer. */
 export interface AnswerHead {
   readonly status: number;
-  readonly headers: AnswerHeaders;
-  readonly facts: AnswerFacts;
+  readonly headers: ResponseHeaders;
+  readonly facts: ResponseMetadata;
 }
 
 /** Why an attempt ended before its request was sent. */
@@ -44,7 +44,7 @@
  *
  * @example findHealthSign('connectionLimit') // undefined
  */
-export function findHealthSign(reason: UnsentReason): HealthSign | undefined {
+export function findHealthSign(reason: UnsentReason): HealthSignal | undefined {
   switch (reason) {
     case 'connectionLimit':
     case 'endpointDeclined':
@@ -84,7 +84,7 @@
   readonly connections: EndpointConnections;
   readonly dialect: HttpDialect;
   /** Why the request is no longer wanted; checked once everything that has arrived from the caller is read. */
-  readonly findObstacle: () => CallerObstacle | undefined;
+  readonly findAbortReason: () => CallerObstacle | undefined;
   /** Whether the endpoint still accepts requests; checked after the connection has been acquired. */
   readonly maySend: () => boolean;
   /** Builds the request at the moment of sending, so that the time left is right. */
@@ -93,7 +93,7 @@
   readonly maxConnections: number;
   readonly onEvent: (attempt: Attempt, event: AttemptEvent) => void;
   /** Called for the head of every final response, including responses that the attempt then discards. */
-  readonly onAnswerFacts: (row: EndpointRow, facts: AnswerFacts) => void;
+  readonly onAnswerFacts: (row: EndpointRow, facts: ResponseMetadata) => void;
 }
 
 /** The library takes a name for TLS; its types do not say so. */
@@ -162,7 +162,7 @@
     const { row, connections, maxIdleMs, maxConnections } = this.options;
     await readSockets();
     if (this.isOver) return;
-    const obstacle = this.options.findObstacle();
+    const obstacle = this.options.findAbortReason();
     if (obstacle !== undefined) return this.finish({ type: 'unsent', reason: obstacle });
     const acquired = await connections.acquire(row, maxIdleMs, maxConnections);
     if (this.isOver) {
@@ -232,9 +232,9 @@
     });
   }
 
-  private handleHead(request: ForwardedRequest, status: number, headers: AnswerHeaders): void {
+  private handleHead(request: ForwardedRequest, status: number, headers: ResponseHeaders): void {
     if (status < LEAST_SUCCESS) return;
-    const facts = this.options.dialect.readAnswer(status, headers);
+    const facts = this.options.dialect.readResponse(status, headers);
     this.options.onAnswerFacts(this.row, facts);
     if (this.isOver) return;
     const head = { status, headers, facts };
--- a/packages/router/src/proxy/attemptSet.ts
+++ b/packages/router/src/proxy/attemptSet.ts
@@ -104,7 +104,7 @@
     const wanted = this.createPlacementRequest(assignment, isSpread ? [] : options.request.promptParts);
     const nowMs = context.now();
     const choice = context.placement.choose(wanted, nowMs);
-    if (choice === undefined) return Err(context.placement.explainNone(wanted, nowMs));
+    if (choice === undefined) return Err(context.placement.explainFailure(wanted, nowMs));
     const { row } = choice;
     this.lastChoice = choice;
     context.metrics.placements.inc({ way: choice.way });
@@ -114,13 +114,13 @@
       row,
       connections: context.connections,
       dialect: context.dialect,
-      findObstacle: () => this.findObstacle(),
+      findAbortReason: () => this.findObstacle(),
       maySend: () => acceptsRequests(row, context.now()),
       createRequest: () => this.createRequest(row, assignment, resumeAfter, cacheSource),
       maxIdleMs: isRepeatable(assignment.route) ? REPEATABLE_MAX_IDLE_MS : ONCE_MAX_IDLE_MS,
       maxConnections: assignment.declared?.maxConnections ?? DEFAULT_MAX_CONNECTIONS,
       onEvent: options.onEvent,
-      onAnswerFacts: context.noteAnswerFacts,
+      onAnswerFacts: context.recordAnnouncements,
     });
     this.live.push(attempt);
     void attempt.start();
@@ -170,7 +170,7 @@
     const { context, options } = this;
     const { req, request } = options;
     this.sent += 1;
-    const forwarded = context.dialect.writeForwarded({
+    const forwarded = context.dialect.writeForwardedHeaders({
       deadlineMs: Math.max(1, Math.round(options.readExpiry() - context.now())),
       endpointId: row.listing.id,
       team: assignment.team?.name,
--- a/packages/router/src/proxy/callerServer.ts
+++ b/packages/router/src/proxy/callerServer.ts
@@ -68,7 +68,7 @@
   }
 
   /** Accepts no more connections and closes those on which no request is under way. */
-  refuseNew(): void {
+  stopAccepting(): void {
     if (this.server.listening) this.server.close();
     this.server.closeIdleConnections();
   }
--- a/packages/router/src/proxy/crashCheck.ts
+++ b/packages/router/src/proxy/crashCheck.ts
@@ -9,7 +9,7 @@
 import type { EndpointConnections } from './endpointConnections.js';
 
 /** What became of an endpoint that broke off a request. */
-export type CrashVerdict =
+export type CrashCheckResult =
   | 'crashed'
   /** It accepts connections. */
   | 'running'
@@ -18,7 +18,7 @@
 
 /** Checks endpoints, each once for all requests that it broke off at the same time. */
 export class CrashCheck {
-  private readonly pending = new Map<string, Promise<CrashVerdict>>();
+  private readonly pending = new Map<string, Promise<CrashCheckResult>>();
 
   constructor(
     private readonly connections: Pick<EndpointConnections, 'check'>,
@@ -31,7 +31,7 @@
    *
    * @example if ((await crashCheck.check(row)) === 'crashed') relay.noteCrash(content, run);
    */
-  check(row: EndpointRow): Promise<CrashVerdict> {
+  check(row: EndpointRow): Promise<CrashCheckResult> {
     const { id } = row.listing;
     const pending = this.pending.get(id);
     if (pending !== undefined) return pending;
@@ -40,7 +40,7 @@
     return verdict;
   }
 
-  private async connect(row: EndpointRow): Promise<CrashVerdict> {
+  private async connect(row: EndpointRow): Promise<CrashCheckResult> {
     // It ends as planned, or its entry is gone: that says nothing against what it had under way.
     const isEnding = isLeaving(row) || row.isLapsed;
     const reached = await this.connections.check(row);
--- a/packages/router/src/proxy/exchange.ts
+++ b/packages/router/src/proxy/exchange.ts
@@ -89,7 +89,7 @@
   }
 
   /** The process stood still: endpoints could not be heard meanwhile. */
-  noteStall(stalledMs: number): void {
+  handlePause(stalledMs: number): void {
     this.heardAtMs += stalledMs;
     for (const attempt of this.attempts.live) if (attempt.sentAtMs > 0) attempt.sentAtMs += stalledMs;
   }
@@ -102,7 +102,7 @@
 
   /** Goes on as soon as the box knows what to serve; refuses if that takes too long. */
   private waitForStart(nowMs: number): void {
-    const isInformed = this.context.isInformed();
+    const isInformed = this.context.isInitialized();
     this.isWaitingForStart = !isInformed && nowMs - this.arrivedAtMs < START_WAIT_MS;
     if (!this.isWaitingForStart) this.begin();
   }
@@ -115,7 +115,7 @@
     this.assignment = assignment;
     this.expiresAtMs = Math.min(this.expiresAtMs, this.arrivedAtMs + assignment.route.timeoutMs);
     context.metrics.requests.inc({ service: assignment.service });
-    context.budget.noteRequest(assignment.service, context.now());
+    context.budget.recordRequest(assignment.service, context.now());
     this.place(undefined);
   }
 
@@ -163,7 +163,7 @@
     if (reason === 'callerLeft') return this.handleCallerClosed();
     if (reason === 'deadlinePassed') return this.expire();
     const sign = findHealthSign(reason);
-    if (sign !== undefined) this.context.noteSign(attempt.row, sign);
+    if (sign !== undefined) this.context.recordHealthSignal(attempt.row, sign);
     this.attempts.unsentCount += 1;
     logRetry(this.context, this.listFacts(), attempt.row, 'unsent', reason);
     if (this.attempts.live.length > 0) return;
@@ -174,7 +174,7 @@
   private handleNotRun(attempt: Attempt, head: AnswerHead): void {
     this.drop(attempt, 'notRun');
     this.attempts.notRunCount += 1;
-    this.context.noteSign(attempt.row, 'refused');
+    this.context.recordHealthSignal(attempt.row, 'refused');
     // Its word covers its own run only; another attempt may still be running.
     if (this.attempts.live.length > 0) return;
     if (this.mayRetry('notRun')) return this.retry(attempt, 'notRun', `status ${head.status}`);
@@ -184,10 +184,10 @@
 
   private handleHead(attempt: Attempt, head: AnswerHead): void {
     if (head.status >= LEAST_SERVER_ERROR) {
-      this.context.noteSign(attempt.row, 'errored');
+      this.context.recordHealthSignal(attempt.row, 'errored');
       if (this.discardError(attempt, head)) return;
     } else {
-      this.context.noteSign(attempt.row, 'answered');
+      this.context.recordHealthSignal(attempt.row, 'answered');
     }
     for (const other of [...this.attempts.live]) if (other !== attempt) this.abandon(other, 'lost the race');
     this.winner = attempt;
@@ -226,7 +226,7 @@
     if (attempt !== this.winner || this.delivery === undefined) return;
     const nowMs = this.context.now();
     this.heardAtMs = nowMs;
-    attempt.row.heardAtMs = nowMs;
+    attempt.row.lastResponseAtMs = nowMs;
     if (!this.delivery.push(chunk)) attempt.pause();
   }
 
@@ -234,7 +234,7 @@
     this.drop(attempt, 'whole');
     const { delivery } = this;
     if (delivery === undefined) return;
-    attempt.row.heardAtMs = this.context.now();
+    attempt.row.lastResponseAtMs = this.context.now();
     if (!delivery.isWhole()) return this.handleBroken(attempt, 'connectionLost', 'ended inside an event');
     this.suspicion.noteAnswered(delivery.status);
     delivery.finish();
@@ -244,7 +244,7 @@
   private handleBroken(attempt: Attempt, reason: BreakReason | 'resumeRefused', detail: string): void {
     this.drop(attempt, 'broken');
     const { context, suspicion } = this;
-    context.noteSign(attempt.row, 'broke');
+    context.recordHealthSignal(attempt.row, 'broke');
     logBreak(context, { ...this.listFacts(), content: suspicion.content }, attempt, { reason, detail });
     const goOn = (): void => this.goOnElsewhere(attempt, 'broken', `${reason}: ${detail}`);
     if (reason !== 'connectionLost') return goOn();
@@ -275,7 +275,7 @@
     if (assignment === undefined || attempt.sentAtMs === 0) return;
     const answeredAtMs = attempt === winner ? heardAtMs : undefined;
     const hasOthers = this.attempts.live.length > 1;
-    const { verdict, silentMs } = watchSilence(context, attempt, {
+    const { action: verdict, silentMs } = watchSilence(context, attempt, {
       route: assignment.route,
       answeredAtMs,
       hasOthers,
@@ -293,7 +293,7 @@
 
   private hedge(attempt: Attempt, silentMs: number): void {
     if (!this.mayRetry('hedge')) return;
-    this.context.noteSign(attempt.row, 'silent');
+    this.context.recordHealthSignal(attempt.row, 'silent');
     this.retry(attempt, 'hedge', `silent for ${Math.round(silentMs)} ms`);
   }
 
@@ -303,7 +303,7 @@
     if (delivery?.hasStarted === true && !delivery.canResume) return;
     if (assignment === undefined || !this.attempts.mayOpenAnother(assignment.route)) return;
     this.abandon(attempt, 'silent');
-    this.context.noteSign(attempt.row, 'silent');
+    this.context.recordHealthSignal(attempt.row, 'silent');
     this.goOnElsewhere(attempt, 'silent', `silent for ${Math.round(silentMs)} ms`);
   }
 
@@ -325,7 +325,7 @@
     const isRouteTimeout =
       assignment !== undefined && this.context.now() - this.arrivedAtMs >= assignment.route.timeoutMs;
     if (this.attempts.live.some((attempt) => attempt.sentAtMs > 0) && this.delivery === undefined) {
-      for (const attempt of this.attempts.live) this.context.noteSign(attempt.row, 'silent');
+      for (const attempt of this.attempts.live) this.context.recordHealthSignal(attempt.row, 'silent');
     }
     this.abandonAll('expired');
     if (!this.attempts.mayHaveRun) return this.refuse('overloaded', pickRetryAfterMs());
--- a/packages/router/src/proxy/exchangeLog.ts
+++ b/packages/router/src/proxy/exchangeLog.ts
@@ -54,8 +54,8 @@
     detail,
     endpoint: row.listing.id,
     endpointInFlight: row.inFlight,
-    standing: row.standing.type,
-    heardAgoMs: Math.round(context.now() - row.heardAtMs),
+    standing: row.health.type,
+    heardAgoMs: Math.round(context.now() - row.lastResponseAtMs),
   });
 }
 
--- a/packages/router/src/proxy/forwardHeaders.ts
+++ b/packages/router/src/proxy/forwardHeaders.ts
@@ -1,5 +1,5 @@
 /** Which headers pass between callers and endpoints: all but those that concern one connection, or that the router sets. */
-import type { AnswerHeaders } from '../httpDialect.js';
+import type { ResponseHeaders } from '../httpDialect.js';
 
 /** Headers of one connection (RFC 9110, section 7.6.1), and those that the HTTP libraries write themselves. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
@@ -50,7 +50,7 @@
 }
 
 /** Keeps the headers of an endpoint's answer that the caller gets. */
-export function keepAnswered(headers: AnswerHeaders): Record<string, string | string[]> {
+export function keepAnswered(headers: ResponseHeaders): Record<string, string | string[]> {
   const named = listNamed(headers['connection']);
   const kept: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(headers)) {
@@ -61,6 +61,6 @@
 }
 
 /** Whether an answer has no length, so that only the end of its connection ends it. */
-export function isCloseDelimited(headers: AnswerHeaders): boolean {
+export function isCloseDelimited(headers: ResponseHeaders): boolean {
   return headers['transfer-encoding'] === undefined && headers['content-length'] === undefined;
 }
--- a/packages/router/src/proxy/requestSuspicion.ts
+++ b/packages/router/src/proxy/requestSuspicion.ts
@@ -45,7 +45,7 @@
   /** For how long the request is not to be sent; 0 if it may be. */
   readWaitMs(): number {
     const { quarantine } = this.context;
-    return quarantine.isEmpty ? 0 : quarantine.readWaitMs(this.content);
+    return quarantine.isEmpty ? 0 : quarantine.readRemainingMs(this.content);
   }
 
   /**
@@ -55,7 +55,7 @@
   awaitJudgement(then: () => void): boolean {
     if (this.isAwaitingJudgement) return true;
     const { quarantine } = this.context;
-    const judgedInMs = quarantine.isEmpty ? 0 : quarantine.readJudgedInMs(this.content);
+    const judgedInMs = quarantine.isEmpty ? 0 : quarantine.readDecisionDelayMs(this.content);
     if (judgedInMs === 0) return false;
     this.isAwaitingJudgement = true;
     setTimeout(() => {
@@ -68,7 +68,7 @@
   /** Whether its endpoint is to be drawn at random. */
   mustSpread(): boolean {
     const { quarantine } = this.context;
-    return !quarantine.isEmpty && quarantine.mustSpread(this.content);
+    return !quarantine.isEmpty && quarantine.mustPlaceRandomly(this.content);
   }
 
   /**
@@ -83,8 +83,8 @@
 
   /** Notes that the request was answered whole. Only a success clears it: an endpoint may fail it before it runs it. */
   noteAnswered(status: number): void {
-    const { quarantine, crashNews } = this.context;
-    if (status < LEAST_REDIRECT && !quarantine.isEmpty) crashNews.noteAnswered(this.content);
+    const { quarantine, quarantineRelay: crashNews } = this.context;
+    if (status < LEAST_REDIRECT && !quarantine.isEmpty) crashNews.recordSuccess(this.content);
   }
 
   private async check(attempt: Attempt, endedAtMs: number): Promise<void> {
@@ -92,6 +92,6 @@
     const verdict = await this.context.crashCheck.check(row);
     if (verdict !== 'crashed') return;
     const sentAtMs = attempt.handedOverAtMs;
-    this.context.crashNews.noteCrash(this.content, { endpointTag: row.tag, sentAtMs, endedAtMs });
+    this.context.quarantineRelay.recordCrash(this.content, { endpointTag: row.tag, sentAtMs, endedAtMs });
   }
 }
--- a/packages/router/src/proxy/silence.ts
+++ b/packages/router/src/proxy/silence.ts
@@ -44,7 +44,7 @@
  *
  * @example judgeSilence({ route, silentMs: 10, isUnreachable: false, hasOthers: false, isAnswering: false }) // 'wait'
  */
-export function judgeSilence(silence: Silence): SilenceVerdict {
+export function decideOnSilence(silence: Silence): SilenceVerdict {
   const { route, silentMs } = silence;
   if (!isRepeatable(route)) return 'wait';
   const isCutOff = silence.isUnreachable && silentMs > CUT_OFF_SILENCE_MS;
--- a/packages/router/src/proxy/silenceWatch.ts
+++ b/packages/router/src/proxy/silenceWatch.ts
@@ -3,7 +3,7 @@
 import type { RouterContext } from '../routerContext.js';
 import type { Attempt } from './attempt.js';
 import type { SilenceVerdict } from './silence.js';
-import { judgeSilence } from './silence.js';
+import { decideOnSilence } from './silence.js';
 
 /** A kept connection that says nothing for so long may be dead: several times what endpoints take for an answer. */
 const SILENT_CONNECTION_MS = 1_000;
@@ -29,13 +29,13 @@
   context: RouterContext,
   attempt: Attempt,
   { route, answeredAtMs, hasOthers, nowMs }: WatchedRequest,
-): { readonly verdict: SilenceVerdict; readonly silentMs: number } {
+): { readonly action: SilenceVerdict; readonly silentMs: number } {
   const isAnswering = answeredAtMs !== undefined;
   const silentMs = nowMs - (answeredAtMs ?? attempt.sentAtMs);
   if (!isAnswering) doubtConnection(context, attempt, silentMs);
-  const isUnreachable = attempt.row.standing.type === 'unreachable';
-  const verdict = judgeSilence({ route, silentMs, isUnreachable, hasOthers, isAnswering });
-  return { verdict: verdict === 'hedge' ? paceHedge(attempt, nowMs) : verdict, silentMs };
+  const isUnreachable = attempt.row.health.type === 'unreachable';
+  const verdict = decideOnSilence({ route, silentMs, isUnreachable, hasOthers, isAnswering });
+  return { action: verdict === 'hedge' ? paceHedge(attempt, nowMs) : verdict, silentMs };
 }
 
 function paceHedge(attempt: Attempt, nowMs: number): SilenceVerdict {
--- a/packages/router/src/quarantine/__fixtures__/virtualCrashes.ts
+++ b/packages/router/src/quarantine/__fixtures__/virtualCrashes.ts
@@ -5,8 +5,8 @@
 import { VirtualFleet } from '../../membership/__fixtures__/virtualFleet.js';
 import type { RouterFrame } from '../../peers/peerFrames.js';
 import type { PeerMesh } from '../../peers/peerMesh.js';
-import { CONDEMNING_CRASHES, Quarantine } from '../quarantine.js';
-import type { CrashGreeting, QuarantineRelayOptions } from '../quarantineRelay.js';
+import { QUARANTINE_THRESHOLD, Quarantine } from '../quarantine.js';
+import type { CrashSnapshot, QuarantineRelayOptions } from '../quarantineRelay.js';
 import { QuarantineRelay } from '../quarantineRelay.js';
 
 /** From sending a request until its endpoint crashes: a wait in its queue, and a run. */
@@ -28,8 +28,8 @@
   }
 
   handleFrame(frame: RouterFrame): void {
-    if (frame.type === 'crashNews') this.relay.handleNews(frame);
-    if (frame.type === 'heartbeat') this.relay.handleGreeting(frame);
+    if (frame.type === 'crashNews') this.relay.handleCrashReports(frame);
+    if (frame.type === 'heartbeat') this.relay.handleHeartbeat(frame);
   }
 
   tick(): void {
@@ -40,8 +40,8 @@
     return [];
   }
 
-  createCrashGreeting(): CrashGreeting {
-    return this.relay.createGreeting();
+  createCrashSnapshot(): CrashSnapshot {
+    return this.relay.createSnapshot();
   }
 }
 
@@ -89,9 +89,9 @@
   /** A caller sends the request to a box; true if the box sends it to an endpoint. */
   sendAt(box: VirtualBox, content: string): boolean {
     const { quarantine } = this.findProgram(box);
-    if (quarantine.readWaitMs(content) > 0) return false;
+    if (quarantine.readRemainingMs(content) > 0) return false;
     const { timeline } = this.fleet;
-    const judgedInMs = quarantine.readJudgedInMs(content);
+    const judgedInMs = quarantine.readDecisionDelayMs(content);
     if (judgedInMs > 0) {
       timeline.after(judgedInMs, () => this.sendAt(box, content));
       return false;
@@ -102,11 +102,11 @@
     const endpointTag = (this.nextEndpointTag += 1);
     timeline.after(LEAST_RUN_MS + drawExponential(this.random, MEAN_WAIT_MS), () => {
       tally.crashes += 1;
-      if (tally.crashes === CONDEMNING_CRASHES) tally.condemnedAtMs = timeline.nowMs;
+      if (tally.crashes === QUARANTINE_THRESHOLD) tally.condemnedAtMs = timeline.nowMs;
       const isThere = this.fleet.network.readMachine(box.address).state === 'running';
       if (!isThere) return;
       const { relay } = this.findProgram(box);
-      relay.noteCrash(content, { endpointTag, sentAtMs, endedAtMs: timeline.nowMs });
+      relay.recordCrash(content, { endpointTag, sentAtMs, endedAtMs: timeline.nowMs });
     });
     return true;
   }
@@ -115,7 +115,7 @@
   countSentAfter(content: string, ms: number): number {
     const { condemnedAtMs, sentAtMs } = this.findTally(content);
     if (condemnedAtMs === undefined)
-      throw new Error(`${content} has not crashed ${CONDEMNING_CRASHES} endpoints`);
+      throw new Error(`${content} has not crashed ${QUARANTINE_THRESHOLD} endpoints`);
     return sentAtMs.filter((atMs) => atMs > condemnedAtMs + ms).length;
   }
 
@@ -134,12 +134,12 @@
   countUnaware(content: string): number {
     return this.fleet
       .listRunning()
-      .filter((box) => this.findProgram(box).quarantine.readWaitMs(content) === 0).length;
+      .filter((box) => this.findProgram(box).quarantine.readRemainingMs(content) === 0).length;
   }
 
   /** An endpoint answers the request whole, by way of this box. */
   answerAt(box: VirtualBox, content: string): void {
-    this.findProgram(box).relay.noteAnswered(content);
+    this.findProgram(box).relay.recordSuccess(content);
   }
 
   private createProgram(box: VirtualBox, mesh: PeerMesh): VirtualProgram {
--- a/packages/router/src/quarantine/__tests__/crashedRuns.test.ts
+++ b/packages/router/src/quarantine/__tests__/crashedRuns.test.ts
@@ -6,8 +6,8 @@
   endpointTag,
   sentAtMs,
   endedAtMs,
-  heardEndAtMs: endedAtMs,
-  witness,
+  localEndAtMs: endedAtMs,
+  reporter: witness,
 });
 
 const addAll = (runs: readonly CrashedRun[]): readonly CrashedRun[] =>
@@ -29,9 +29,9 @@
 });
 
 test('news that come late do not make a crash overlap with a run that this box began after them', () => {
-  const told = { ...run(1, 0, 100, 1), heardEndAtMs: 800 };
-  expect(findCrashChain([told, { ...run(2, 850, 900, 2), isOwn: true }])).toHaveLength(2);
-  expect(findCrashChain([told, { ...run(2, 790, 900, 2), isOwn: true }])).toHaveLength(1);
+  const told = { ...run(1, 0, 100, 1), localEndAtMs: 800 };
+  expect(findCrashChain([told, { ...run(2, 850, 900, 2), isLocal: true }])).toHaveLength(2);
+  expect(findCrashChain([told, { ...run(2, 790, 900, 2), isLocal: true }])).toHaveLength(1);
   expect(findCrashChain([told, run(2, 850, 900, 2)])).toHaveLength(1);
 });
 
@@ -43,11 +43,11 @@
 
 test('one run is known again however late it is told', () => {
   const known = addAll([run(1, 0, 500)]);
-  expect(addCrashedRun(known, { ...run(1, 0, 500), heardEndAtMs: 2_000 })).toBeUndefined();
+  expect(addCrashedRun(known, { ...run(1, 0, 500), localEndAtMs: 2_000 })).toBeUndefined();
 });
 
 test('what one box saw is in the order in which it saw it, though the news come late', () => {
-  const first = { ...run(1, 0, 100), heardEndAtMs: 180 };
+  const first = { ...run(1, 0, 100), localEndAtMs: 180 };
   expect(findCrashChain([first, run(2, 105, 200)])).toHaveLength(2);
 });
 
@@ -72,10 +72,11 @@
   );
   fc.assert(
     fc.property(runs, (drawn) => {
-      const all = drawn.map(({ lastedMs, ...one }) => ({
+      const all = drawn.map(({ lastedMs, witness, ...one }): CrashedRun => ({
         ...one,
+        reporter: witness,
         endedAtMs: one.sentAtMs + lastedMs,
-        heardEndAtMs: one.sentAtMs + lastedMs,
+        localEndAtMs: one.sentAtMs + lastedMs,
       }));
       const forth = findCrashChain(addAll(all));
       expect(findCrashChain(addAll([...all].reverse())).length).toBe(forth.length);
--- a/packages/router/src/quarantine/__tests__/innocentRequests.test.ts
+++ b/packages/router/src/quarantine/__tests__/innocentRequests.test.ts
@@ -4,7 +4,7 @@
  * request, by a rack that fails, or by themselves all the time.
  */
 import { createRandom, drawExponential, Timeline } from '@hazelwalk/standins';
-import { CONDEMNING_CRASHES, Quarantine } from '../quarantine.js';
+import { QUARANTINE_THRESHOLD, Quarantine } from '../quarantine.js';
 
 const ENGINES = 13;
 const PROMPTS = 40;
@@ -91,12 +91,12 @@
     const nowMs = this.timeline.nowMs;
     const endpointTag = engine * 1_000 + (this.life[engine] ?? 0);
     for (const { request, sentAtMs } of broken) {
-      this.quarantine.noteCrash(request.content, {
+      this.quarantine.recordCrash(request.content, {
         endpointTag,
-        witness: 1,
+        reporter: 1,
         sentAtMs,
         endedAtMs: nowMs,
-        heardEndAtMs: nowMs,
+        localEndAtMs: nowMs,
       });
     }
     this.lostEngines += 1;
@@ -116,8 +116,8 @@
 
   private send(request: Request, tried: readonly number[], tries: number): void {
     const { quarantine, timeline } = this;
-    if (quarantine.readWaitMs(request.content) > 0) return void this.heldBack.add(request.content);
-    const judgedInMs = quarantine.readJudgedInMs(request.content);
+    if (quarantine.readRemainingMs(request.content) > 0) return void this.heldBack.add(request.content);
+    const judgedInMs = quarantine.readDecisionDelayMs(request.content);
     if (judgedInMs > 0) return timeline.after(judgedInMs, () => this.send(request, tried, tries));
     const engine = this.choose(request, tried);
     if (engine === undefined) return;
@@ -129,7 +129,7 @@
       if (this.runs[engine]?.has(run) !== true) return;
       if (request.isCrashing) return this.crashTogether([engine]);
       this.runs[engine]?.delete(run);
-      quarantine.noteAnswered(request.content);
+      quarantine.recordSuccess(request.content);
     });
   }
 
@@ -138,7 +138,7 @@
     const up = Array.from({ length: ENGINES }, (_, at) => (prompt * 5 + at) % ENGINES).filter(
       (engine) => this.isDown[engine] !== true && !tried.includes(engine),
     );
-    return this.quarantine.mustSpread(content) ? up[Math.floor(this.random() * up.length)] : up[0];
+    return this.quarantine.mustPlaceRandomly(content) ? up[Math.floor(this.random() * up.length)] : up[0];
   }
 }
 
@@ -148,7 +148,7 @@
 
 /** Times that a request was sent later than this after the third engine had crashed under it. */
 function countLateSends(site: Site, content: string): number {
-  const thirdMs = site.crashes.get(content)?.[CONDEMNING_CRASHES - 1] ?? Infinity;
+  const thirdMs = site.crashes.get(content)?.[QUARANTINE_THRESHOLD - 1] ?? Infinity;
   return (site.sends.get(content) ?? []).filter((atMs) => atMs > thirdMs + CONTACT_MS).length;
 }
 
--- a/packages/router/src/quarantine/__tests__/lateCrashNews.test.ts
+++ b/packages/router/src/quarantine/__tests__/lateCrashReports.test.ts
@@ -1,7 +1,7 @@
 /** Guards against a fourth crash by a request whose first crashes a box was told of late. */
-import type { CrashNews, Heartbeat } from '../../peers/peerFrames.js';
-import { JUDGE_AFTER_MS, Quarantine } from '../quarantine.js';
-import type { CrashNewsDelays } from '../quarantineRelay.js';
+import type { CrashReports, Heartbeat } from '../../peers/peerFrames.js';
+import { DECISION_DELAY_MS, Quarantine } from '../quarantine.js';
+import type { CrashReportDelays } from '../quarantineRelay.js';
 import { QuarantineRelay } from '../quarantineRelay.js';
 
 const HALL = 'mixco';
@@ -13,8 +13,8 @@
 
 /** A box with a rank in its hall and a link to one peer. */
 class Box {
-  readonly sent: CrashNews[] = [];
-  readonly delays: CrashNewsDelays[] = [];
+  readonly sent: CrashReports[] = [];
+  readonly delays: CrashReportDelays[] = [];
   readonly quarantine = new Quarantine(
     () => nowMs,
     () => {},
@@ -26,26 +26,26 @@
     this.relay = new QuarantineRelay({
       mesh: {
         address: String(rank),
-        isFlat,
-        listLinked: () => peers,
-        sendToEach: (_addresses, frame) => this.sent.push(frame as CrashNews),
+        isFullMesh: isFlat,
+        listReachable: () => peers,
+        sendToEach: (_addresses, frame) => this.sent.push(frame as CrashReports),
       },
       quarantine: this.quarantine,
       hall: HALL,
       rank: Number,
       now: () => nowMs,
       random: () => rank / 10,
-      onNews: (delays) => this.delays.push(delays),
+      onReport: (delays) => this.delays.push(delays),
     });
   }
 
   crash(endpointTag: number): void {
     const sentAtMs = nowMs;
     nowMs += 50;
-    this.relay.noteCrash(CONTENT, { endpointTag, sentAtMs, endedAtMs: nowMs });
+    this.relay.recordCrash(CONTENT, { endpointTag, sentAtMs, endedAtMs: nowMs });
   }
 
-  takeSent(): CrashNews[] {
+  takeSent(): CrashReports[] {
     return this.sent.splice(0);
   }
 }
@@ -63,14 +63,14 @@
     first.crash(2);
     first.relay.tick();
     nowMs += NEWS_DELAY_MS;
-    for (const frame of first.takeSent()) last.relay.handleNews(frame);
+    for (const frame of first.takeSent()) last.relay.handleCrashReports(frame);
     nowMs += 10;
     last.crash(3);
-    expect(last.quarantine.readJudgedInMs(CONTENT)).toBeGreaterThan(0);
-    nowMs += JUDGE_AFTER_MS;
+    expect(last.quarantine.readDecisionDelayMs(CONTENT)).toBeGreaterThan(0);
+    nowMs += DECISION_DELAY_MS;
     last.takeSent();
     last.relay.tick();
-    expect(last.quarantine.readWaitMs(CONTENT)).toBeGreaterThan(0);
+    expect(last.quarantine.readRemainingMs(CONTENT)).toBeGreaterThan(0);
     const verdicts = last.takeSent().flatMap(({ condemned }) => condemned);
     expect(verdicts).toEqual([expect.objectContaining({ content: CONTENT })]);
   },
@@ -81,12 +81,12 @@
   const last = new Box(4, true);
   first.crash(1);
   first.relay.tick();
-  for (const frame of first.takeSent()) last.relay.handleNews(frame);
+  for (const frame of first.takeSent()) last.relay.handleCrashReports(frame);
   first.crash(2);
   nowMs += 30;
   first.relay.tick();
   nowMs += NEWS_DELAY_MS;
-  for (const frame of first.takeSent()) last.relay.handleNews(frame);
+  for (const frame of first.takeSent()) last.relay.handleCrashReports(frame);
   expect(last.delays.map(({ heldMs, delayMs }) => ({ heldMs, delayMs }))).toEqual([
     { heldMs: 0, delayMs: 0 },
     { heldMs: 30, delayMs: NEWS_DELAY_MS },
--- a/packages/router/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/router/src/quarantine/__tests__/quarantine.test.ts
@@ -1,5 +1,6 @@
+import type { CrashedRun } from '../crashedRuns.js';
 import type { QuarantineChange } from '../quarantine.js';
-import { CONDEMNING_CRASHES, JUDGE_AFTER_MS, Quarantine, QUARANTINE_MS } from '../quarantine.js';
+import { QUARANTINE_THRESHOLD, DECISION_DELAY_MS, Quarantine, QUARANTINE_MS } from '../quarantine.js';
 
 const FLOOD = 100_000;
 
@@ -23,12 +24,12 @@
 
 /** A run of 100 ms that ends now with an endpoint. */
 function noteCrashNow(content: string, endpointTag = 1): boolean {
-  return quarantine.noteCrash(content, {
+  return quarantine.recordCrash(content, {
     endpointTag,
     sentAtMs: nowMs - 100,
     endedAtMs: nowMs,
-    heardEndAtMs: nowMs,
-    witness: 1,
+    localEndAtMs: nowMs,
+    reporter: 1,
   });
 }
 
@@ -37,25 +38,25 @@
 }
 
 function awaitJudgement(): void {
-  nowMs += JUDGE_AFTER_MS;
+  nowMs += DECISION_DELAY_MS;
   quarantine.tick();
 }
 
 function condemn(content: string): void {
-  crashSeveral(content, CONDEMNING_CRASHES);
+  crashSeveral(content, QUARANTINE_THRESHOLD);
   awaitJudgement();
 }
 
 test('the third crash condemns, no earlier one does', () => {
-  crashSeveral('a', CONDEMNING_CRASHES - 1);
+  crashSeveral('a', QUARANTINE_THRESHOLD - 1);
   awaitJudgement();
-  expect(quarantine.readWaitMs('a')).toBe(0);
-  expect(quarantine.mustSpread('a')).toBe(true);
+  expect(quarantine.readRemainingMs('a')).toBe(0);
+  expect(quarantine.mustPlaceRandomly('a')).toBe(true);
   crash('a', 9);
-  expect(quarantine.readJudgedInMs('a')).toBe(JUDGE_AFTER_MS);
+  expect(quarantine.readDecisionDelayMs('a')).toBe(DECISION_DELAY_MS);
   awaitJudgement();
-  expect(quarantine.readWaitMs('a')).toBe(QUARANTINE_MS - JUDGE_AFTER_MS);
-  expect(quarantine.readWaitMs('b')).toBe(0);
+  expect(quarantine.readRemainingMs('a')).toBe(QUARANTINE_MS - DECISION_DELAY_MS);
+  expect(quarantine.readRemainingMs('b')).toBe(0);
   expect(changes).toEqual(['suspected', 'suspected', 'suspected', 'quarantined']);
 });
 
@@ -66,12 +67,12 @@
   }
   crash('guilty', 4);
   awaitJudgement();
-  expect(quarantine.readWaitMs('guilty')).toBeGreaterThan(0);
-  expect(quarantine.readWaitMs('beside')).toBe(0);
+  expect(quarantine.readRemainingMs('guilty')).toBeGreaterThan(0);
+  expect(quarantine.readRemainingMs('beside')).toBe(0);
   crash('beside', 5);
   crash('beside', 6);
   awaitJudgement();
-  expect(quarantine.readWaitMs('beside')).toBe(0);
+  expect(quarantine.readRemainingMs('beside')).toBe(0);
 });
 
 test('two guilty ones that always come together are condemned in the end', () => {
@@ -80,51 +81,57 @@
     noteCrashNow('b', tag);
     awaitJudgement();
   }
-  expect(quarantine.readWaitMs('a')).toBeGreaterThan(0);
-  expect(quarantine.readWaitMs('b')).toBeGreaterThan(0);
+  expect(quarantine.readRemainingMs('a')).toBeGreaterThan(0);
+  expect(quarantine.readRemainingMs('b')).toBeGreaterThan(0);
 });
 
 test('a whole answer clears a request, whatever was known', () => {
   condemn('a');
-  expect(quarantine.noteAnswered('a')).toBe(true);
-  expect(quarantine.readWaitMs('a')).toBe(0);
+  expect(quarantine.recordSuccess('a')).toBe(true);
+  expect(quarantine.readRemainingMs('a')).toBe(0);
   expect(quarantine.isEmpty).toBe(true);
-  expect(quarantine.noteAnswered('a')).toBe(false);
+  expect(quarantine.recordSuccess('a')).toBe(false);
 });
 
 test('a verdict ends, and then one crash is enough', () => {
   condemn('a');
   nowMs += QUARANTINE_MS;
   quarantine.tick();
-  expect(quarantine.readWaitMs('a')).toBe(0);
+  expect(quarantine.readRemainingMs('a')).toBe(0);
   expect(changes.at(-1)).toBe('ended');
   crash('a', 9);
-  expect(quarantine.readWaitMs('a')).toBeGreaterThan(0);
+  expect(quarantine.readRemainingMs('a')).toBeGreaterThan(0);
 });
 
 test('a crash after the verdict, of a copy that was under way, makes it last longer', () => {
   condemn('a');
   nowMs += 400;
   crash('a', 9);
-  expect(quarantine.readWaitMs('a')).toBe(QUARANTINE_MS);
+  expect(quarantine.readRemainingMs('a')).toBe(QUARANTINE_MS);
 });
 
 test('the verdict of another box counts like an own one', () => {
   crash('a', 1);
-  expect(quarantine.noteVerdict('a', nowMs - 500)).toBe(true);
-  expect(quarantine.noteVerdict('a', nowMs - 500)).toBe(false);
-  expect(quarantine.readWaitMs('a')).toBe(QUARANTINE_MS - 500);
+  expect(quarantine.recordRemoteQuarantine('a', nowMs - 500)).toBe(true);
+  expect(quarantine.recordRemoteQuarantine('a', nowMs - 500)).toBe(false);
+  expect(quarantine.readRemainingMs('a')).toBe(QUARANTINE_MS - 500);
   crash('a', 2);
-  expect(quarantine.readWaitMs('a')).toBe(QUARANTINE_MS);
-  expect(quarantine.noteVerdict('b', nowMs - QUARANTINE_MS)).toBe(false);
+  expect(quarantine.readRemainingMs('a')).toBe(QUARANTINE_MS);
+  expect(quarantine.recordRemoteQuarantine('b', nowMs - QUARANTINE_MS)).toBe(false);
 });
 
 test('news of an earlier crash do not shorten a verdict', () => {
   condemn('a');
-  const before = quarantine.readWaitMs('a');
-  const earlier = { endpointTag: 99, witness: 2, sentAtMs: 0, endedAtMs: 100 };
-  expect(quarantine.noteCrash('a', { ...earlier, heardEndAtMs: nowMs - 60_000 })).toBe(true);
-  expect(quarantine.readWaitMs('a')).toBe(before);
+  const before = quarantine.readRemainingMs('a');
+  const earlier: CrashedRun = {
+    endpointTag: 99,
+    reporter: 2,
+    sentAtMs: 0,
+    endedAtMs: 100,
+    localEndAtMs: nowMs - 60_000,
+  };
+  expect(quarantine.recordCrash('a', earlier)).toBe(true);
+  expect(quarantine.readRemainingMs('a')).toBe(before);
 });
 
 test('a suspicion that is not renewed is forgotten', () => {
@@ -136,20 +143,26 @@
 
 test('a flood of requests that each meet a crash pushes out neither the condemned nor those seen twice', () => {
   condemn('a');
-  crashSeveral('b', CONDEMNING_CRASHES - 1);
+  crashSeveral('b', QUARANTINE_THRESHOLD - 1);
   for (let at = 0; at < FLOOD; at += 1) {
     noteCrashNow(`flood-${at}`);
   }
-  expect(quarantine.readWaitMs('a')).toBeGreaterThan(0);
-  expect(quarantine.mustSpread('b')).toBe(true);
+  expect(quarantine.readRemainingMs('a')).toBeGreaterThan(0);
+  expect(quarantine.mustPlaceRandomly('b')).toBe(true);
   expect(quarantine.isSuspected(`flood-${FLOOD - 1}`)).toBe(true);
   expect(quarantine.isSuspected('flood-0')).toBe(false);
-  expect(quarantine.listWorst(10).map(([content]) => content)).toEqual(['a', 'b']);
+  expect(quarantine.listBySeverity(10).map(([content]) => content)).toEqual(['a', 'b']);
 });
 
 test('news of long ago is none', () => {
   nowMs += QUARANTINE_MS;
-  const old = { endpointTag: 1, witness: 1, sentAtMs: 0, endedAtMs: 100 };
-  expect(quarantine.noteCrash('a', { ...old, heardEndAtMs: nowMs - QUARANTINE_MS })).toBe(false);
+  const old: CrashedRun = {
+    endpointTag: 1,
+    reporter: 1,
+    sentAtMs: 0,
+    endedAtMs: 100,
+    localEndAtMs: nowMs - QUARANTINE_MS,
+  };
+  expect(quarantine.recordCrash('a', old)).toBe(false);
   expect(quarantine.isEmpty).toBe(true);
 });
--- a/packages/router/src/quarantine/__tests__/suspectTable.test.ts
+++ b/packages/router/src/quarantine/__tests__/suspectTable.test.ts
@@ -4,9 +4,9 @@
 const FLOOD = 20_000;
 
 const record = (endpointTag: number, crashes = 1): SuspectRecord => ({
-  runs: [{ endpointTag, witness: 1, sentAtMs: 0, endedAtMs: 1, heardEndAtMs: 1 }],
+  runs: [{ endpointTag, reporter: 1, sentAtMs: 0, endedAtMs: 1, localEndAtMs: 1 }],
   crashes,
-  verdict: { type: 'none' },
+  state: { type: 'none' },
   changedAtMs: 1,
 });
 
--- a/packages/router/src/quarantine/crashedRuns.ts
+++ b/packages/router/src/quarantine/crashedRuns.ts
@@ -12,14 +12,14 @@
   /** Tag of the endpoint. */
   readonly endpointTag: number;
   /** Names the life of the box that saw it. */
-  readonly witness: number;
+  readonly reporter: number;
   /** On the clock of that life. */
   readonly sentAtMs: number;
   readonly endedAtMs: number;
   /** When it ended, on the clock of the box that keeps it; later than it was by what the news took. */
-  readonly heardEndAtMs: number;
+  readonly localEndAtMs: number;
   /** The box that keeps it saw it itself. */
-  readonly isOwn?: boolean;
+  readonly isLocal?: boolean;
 }
 
 /**
@@ -38,7 +38,7 @@
  */
 export function findCrashChain(runs: readonly CrashedRun[]): CrashedRun[] {
   const chain: CrashedRun[] = [];
-  for (const run of [...runs].sort((a, b) => a.heardEndAtMs - b.heardEndAtMs)) {
+  for (const run of [...runs].sort((a, b) => a.localEndAtMs - b.localEndAtMs)) {
     const last = chain.at(-1);
     if (last === undefined || beganAfter(run, last)) chain.push(run);
   }
@@ -62,20 +62,20 @@
 
 /** When the last of these crashes was; minus infinity if there is none. */
 export function readLastCrashMs(runs: readonly CrashedRun[]): number {
-  return Math.max(...runs.map((run) => run.heardEndAtMs));
+  return Math.max(...runs.map((run) => run.localEndAtMs));
 }
 
 function isSameRun(a: CrashedRun, b: CrashedRun): boolean {
-  return a.endpointTag === b.endpointTag && a.witness === b.witness && a.sentAtMs === b.sentAtMs;
+  return a.endpointTag === b.endpointTag && a.reporter === b.reporter && a.sentAtMs === b.sentAtMs;
 }
 
 function beganAfter(run: CrashedRun, earlier: CrashedRun): boolean {
-  if (run.witness === earlier.witness) return run.sentAtMs >= earlier.endedAtMs;
-  const doubtMs = run.isOwn === true ? 0 : CLOCK_MARGIN_MS;
-  return readHeardSendMs(run) >= earlier.heardEndAtMs + doubtMs;
+  if (run.reporter === earlier.reporter) return run.sentAtMs >= earlier.endedAtMs;
+  const doubtMs = run.isLocal === true ? 0 : CLOCK_MARGIN_MS;
+  return readHeardSendMs(run) >= earlier.localEndAtMs + doubtMs;
 }
 
-function readHeardSendMs({ heardEndAtMs, endedAtMs, sentAtMs }: CrashedRun): number {
+function readHeardSendMs({ localEndAtMs: heardEndAtMs, endedAtMs, sentAtMs }: CrashedRun): number {
   return heardEndAtMs - (endedAtMs - sentAtMs);
 }
 
@@ -90,6 +90,6 @@
   // By an order on which all boxes agree, so that none hands on what the others have dropped.
   const others = runs
     .filter((run) => !chain.includes(run))
-    .sort((a, b) => a.witness - b.witness || a.sentAtMs - b.sentAtMs);
+    .sort((a, b) => a.reporter - b.reporter || a.sentAtMs - b.sentAtMs);
   return [...chain, ...others].slice(0, MAX_KEPT_RUNS);
 }
--- a/packages/router/src/quarantine/quarantine.ts
+++ b/packages/router/src/quarantine/quarantine.ts
@@ -14,7 +14,7 @@
 import { SuspectTable } from './suspectTable.js';
 
 /** Crashes one after the other, each not explained by another request, after which a request is sent no more. */
-export const CONDEMNING_CRASHES = 3;
+export const QUARANTINE_THRESHOLD = 3;
 /** Crashes after which it does not matter whether others may have caused them: two guilty ones may come together. */
 const CONDEMNING_CRASHES_AT_ALL = 6;
 /** Crashes after which the endpoint of a request is drawn at random instead of following its prompt. */
@@ -28,7 +28,7 @@
  * A request with enough crashes is judged after this long, and is not sent meanwhile: other boxes saw who else was under
  * way there, and tell it within three ticks of 40 ms and the links between them.
  */
-export const JUDGE_AFTER_MS = 300;
+export const DECISION_DELAY_MS = 300;
 /** Pace at which what is too old is dropped. */
 const SWEEP_MS = 1_000;
 
@@ -68,15 +68,15 @@
   }
 
   /** For how long a request is not to be sent to any endpoint; 0 if it may be sent. */
-  readWaitMs(content: string): number {
-    const verdict = this.table.quarantined.peek(content)?.verdict;
-    return verdict?.type === 'condemned' ? Math.max(0, verdict.untilMs - this.now()) : 0;
+  readRemainingMs(content: string): number {
+    const verdict = this.table.quarantined.peek(content)?.state;
+    return verdict?.type === 'quarantined' ? Math.max(0, verdict.untilMs - this.now()) : 0;
   }
 
   /** How long it takes until a request is judged; 0 if it does not wait for that. */
-  readJudgedInMs(content: string): number {
+  readDecisionDelayMs(content: string): number {
     if (!this.pending.has(content)) return 0;
-    const verdict = this.table.find(content)?.verdict;
+    const verdict = this.table.find(content)?.state;
     return verdict?.type === 'pending' ? Math.max(1, verdict.judgeAtMs - this.now()) : 0;
   }
 
@@ -86,29 +86,29 @@
   }
 
   /** Whether this box itself saw one of the crashes that a request met. */
-  hasSeenCrash(content: string): boolean {
-    return this.table.find(content)?.runs.some((run) => run.isOwn === true) ?? false;
+  hasLocalCrash(content: string): boolean {
+    return this.table.find(content)?.runs.some((run) => run.isLocal === true) ?? false;
   }
 
   /** Whether a request is to be kept apart from those that it was together with so far. */
-  mustSpread(content: string): boolean {
+  mustPlaceRandomly(content: string): boolean {
     return (this.table.find(content)?.crashes ?? 0) >= SPREADING_CRASHES;
   }
 
   /** Notes a run that ended with its endpoint; false if that was known or is too long ago. */
-  noteCrash(content: string, run: CrashedRun): boolean {
+  recordCrash(content: string, run: CrashedRun): boolean {
     const nowMs = this.now();
-    if (nowMs - run.heardEndAtMs >= QUARANTINE_MS) return false;
+    if (nowMs - run.localEndAtMs >= QUARANTINE_MS) return false;
     const known = this.table.find(content);
     const runs = addCrashedRun(known?.runs ?? [], run);
     if (runs === undefined) return false;
-    const verdict = known?.verdict ?? { type: 'none' };
+    const verdict = known?.state ?? { type: 'none' };
     const crashes = findCrashChain(runs).length;
-    const record: SuspectRecord = { runs, crashes, verdict, changedAtMs: nowMs };
+    const record: SuspectRecord = { runs, crashes, state: verdict, changedAtMs: nowMs };
     switch (verdict.type) {
-      case 'condemned':
+      case 'quarantined':
       case 'released':
-        this.condemn(content, runs, run.heardEndAtMs);
+        this.condemn(content, runs, run.localEndAtMs);
         break;
       case 'pending':
         this.table.keep(content, record);
@@ -124,14 +124,14 @@
    * Another box has condemned a request. News that a cut held up all seem to be of one moment, so that this box may not
    * see by itself that the crashes came one after the other. False if nothing follows from it.
    */
-  noteVerdict(content: string, lastCrashAtMs: number): boolean {
-    if (lastCrashAtMs + QUARANTINE_MS <= this.now() || this.readWaitMs(content) > 0) return false;
+  recordRemoteQuarantine(content: string, lastCrashAtMs: number): boolean {
+    if (lastCrashAtMs + QUARANTINE_MS <= this.now() || this.readRemainingMs(content) > 0) return false;
     this.condemn(content, this.table.find(content)?.runs ?? [], lastCrashAtMs);
     return true;
   }
 
   /** Notes that a request was answered whole: it does not crash its endpoints. False if nothing was known against it. */
-  noteAnswered(content: string): boolean {
+  recordSuccess(content: string): boolean {
     const known = this.table.find(content);
     if (known === undefined) return false;
     this.table.drop(content);
@@ -141,7 +141,7 @@
   }
 
   /** What is known, the requests that most is known against first, for a box that may have missed it. */
-  listWorst(maxRequests: number): [string, SuspectRecord][] {
+  listBySeverity(maxRequests: number): [string, SuspectRecord][] {
     const { quarantined, seenTwice } = this.table;
     return [...quarantined.entries(), ...seenTwice.entries()].slice(0, maxRequests);
   }
@@ -155,9 +155,9 @@
   }
 
   private suspect(content: string, record: SuspectRecord, crashesBefore: number): void {
-    const mayBeEnough = record.crashes >= CONDEMNING_CRASHES;
-    const judgeAtMs = record.changedAtMs + JUDGE_AFTER_MS;
-    this.table.keep(content, mayBeEnough ? { ...record, verdict: { type: 'pending', judgeAtMs } } : record);
+    const mayBeEnough = record.crashes >= QUARANTINE_THRESHOLD;
+    const judgeAtMs = record.changedAtMs + DECISION_DELAY_MS;
+    this.table.keep(content, mayBeEnough ? { ...record, state: { type: 'pending', judgeAtMs } } : record);
     if (mayBeEnough) this.pending.add(content);
     if (record.crashes > crashesBefore) this.onChange(content, 'suspected', record);
   }
@@ -165,13 +165,14 @@
   /** Judges a request if it is time; true if it is condemned by that. */
   private judge(content: string, nowMs: number): boolean {
     const record = this.table.find(content);
-    if (record?.verdict.type === 'pending' && nowMs < record.verdict.judgeAtMs) return false;
+    if (record?.state.type === 'pending' && nowMs < record.state.judgeAtMs) return false;
     this.pending.delete(content);
-    if (record?.verdict.type !== 'pending') return false;
+    if (record?.state.type !== 'pending') return false;
     const unexplained = record.runs.filter((run) => !this.isExplained(content, record, run));
     const isGuilty =
-      findCrashChain(unexplained).length >= CONDEMNING_CRASHES || record.crashes >= CONDEMNING_CRASHES_AT_ALL;
-    if (!isGuilty) this.table.keep(content, { ...record, verdict: { type: 'none' } });
+      findCrashChain(unexplained).length >= QUARANTINE_THRESHOLD ||
+      record.crashes >= CONDEMNING_CRASHES_AT_ALL;
+    if (!isGuilty) this.table.keep(content, { ...record, state: { type: 'none' } });
     else this.condemn(content, record.runs, readLastCrashMs(record.runs));
     return isGuilty;
   }
@@ -180,24 +181,24 @@
   private isExplained(content: string, { crashes }: SuspectRecord, run: CrashedRun): boolean {
     return this.table
       .listBeside(content, run)
-      .filter((other) => other.verdict.type === 'condemned' || other.crashes >= crashes)
+      .filter((other) => other.state.type === 'quarantined' || other.crashes >= crashes)
       .some((other) => other.runs.some((one) => isSameCrash(one, run)));
   }
 
   private condemn(content: string, runs: readonly CrashedRun[], lastCrashAtMs: number): void {
     const before = this.table.find(content);
     // News of an earlier crash may come after those of a later one.
-    const untilMs = Math.max(lastCrashAtMs + QUARANTINE_MS, this.now() + this.readWaitMs(content));
-    const crashes = Math.max(findCrashChain(runs).length, CONDEMNING_CRASHES);
+    const untilMs = Math.max(lastCrashAtMs + QUARANTINE_MS, this.now() + this.readRemainingMs(content));
+    const crashes = Math.max(findCrashChain(runs).length, QUARANTINE_THRESHOLD);
     const record: SuspectRecord = {
       runs,
       crashes,
-      verdict: { type: 'condemned', untilMs },
+      state: { type: 'quarantined', untilMs },
       changedAtMs: this.now(),
     };
     this.pending.delete(content);
     this.table.keep(content, record);
-    const isNew = before?.verdict.type !== 'condemned' || crashes > before.crashes;
+    const isNew = before?.state.type !== 'quarantined' || crashes > before.crashes;
     if (isNew) this.onChange(content, 'quarantined', record);
   }
 
@@ -205,7 +206,7 @@
     this.sweptAtMs = nowMs;
     const { quarantined, seenOnce, seenTwice } = this.table;
     for (const [content] of [...quarantined.entries()])
-      if (this.readWaitMs(content) === 0) this.release(content, nowMs);
+      if (this.readRemainingMs(content) === 0) this.release(content, nowMs);
     for (const book of [seenOnce, seenTwice]) {
       for (const [content, { changedAtMs }] of [...book.entries()]) {
         if (nowMs - changedAtMs >= QUARANTINE_MS) this.table.drop(content);
@@ -217,8 +218,8 @@
   private release(content: string, nowMs: number): void {
     const record: SuspectRecord = {
       runs: [],
-      crashes: CONDEMNING_CRASHES - 1,
-      verdict: { type: 'released' },
+      crashes: QUARANTINE_THRESHOLD - 1,
+      state: { type: 'released' },
       changedAtMs: nowMs,
     };
     this.table.keep(content, record);
