--- a/packages/router/src/quarantine/quarantineRelay.ts
+++ b/packages/router/src/quarantine/quarantineRelay.ts
@@ -6,13 +6,13 @@
  * is new to them, from their hall to the others and from the others to their hall. What a box missed while it was down or
  * cut off it hears on the link that comes up after.
  */
-import { findHallPlace } from '../membership/hallPlace.js';
-import type { CondemnedRequest, CrashedRunReport, CrashNews, Heartbeat } from '../peers/peerFrames.js';
+import { findHallPosition } from '../membership/hallPosition.js';
+import type { QuarantinedRequest, CrashedRunReport, CrashReports, Heartbeat } from '../peers/peerFrames.js';
 import type { PeerMesh } from '../peers/peerMesh.js';
 import type { CrashedRun } from './crashedRuns.js';
 import type { Quarantine } from './quarantine.js';
 import { QUARANTINE_MS } from './quarantine.js';
-import { WitnessClocks } from './witnessClocks.js';
+import { WitnessClocks } from './reporterClocks.js';
 
 /** Boxes of a hall that pass news on between halls; the second makes up for frames that the first loses. */
 const RELAYS_PER_HALL = 2;
@@ -28,7 +28,7 @@
 
 /** What the relay works with. */
 export interface QuarantineRelayOptions {
-  readonly mesh: Pick<PeerMesh, 'address' | 'isFlat' | 'listLinked' | 'sendToEach'>;
+  readonly mesh: Pick<PeerMesh, 'address' | 'isFullMesh' | 'listReachable' | 'sendToEach'>;
   readonly quarantine: Quarantine;
   readonly hall: string;
   /** Rank of an address, by which all boxes agree on those that pass news on. */
@@ -37,14 +37,14 @@
   /** Between 0 and 1. */
   readonly random: () => number;
   /** Called for each crash that another box tells of. */
-  readonly onNews?: (delays: CrashNewsDelays) => void;
+  readonly onReport?: (delays: CrashReportDelays) => void;
 }
 
 /** How late the news of a crash is. */
-export interface CrashNewsDelays {
-  readonly content: string;
+export interface CrashReportDelays {
+  readonly fingerprint: string;
   /** Names the life of the box that saw it. */
-  readonly witness: number;
+  readonly reporter: number;
   /** Boxes that the news passed in between. */
   readonly hops: number;
   /** From the crash until the last box on the way sent the news, as that box says. */
@@ -70,7 +70,7 @@
 }
 
 /** What a box is told on a new link, as its first heartbeat carries it. */
-export type CrashGreeting = Pick<Heartbeat, 'crashes' | 'condemned'>;
+export type CrashSnapshot = Pick<Heartbeat, 'crashes' | 'condemned'>;
 
 /** One box's part in spreading what is known against requests. */
 export class QuarantineRelay {
@@ -86,17 +86,17 @@
   }
 
   /** This box saw a run end with its endpoint. */
-  noteCrash(content: string, run: Pick<CrashedRun, 'endpointTag' | 'sentAtMs' | 'endedAtMs'>): void {
-    const seen = {
+  recordCrash(content: string, run: Pick<CrashedRun, 'endpointTag' | 'sentAtMs' | 'endedAtMs'>): void {
+    const seen: SeenCrash = {
       content,
-      run: { ...run, witness: this.witness, heardEndAtMs: run.endedAtMs, isOwn: true },
+      run: { ...run, reporter: this.witness, localEndAtMs: run.endedAtMs, isLocal: true },
     };
-    if (this.options.quarantine.noteCrash(content, seen.run)) this.crashes.push(seen);
+    if (this.options.quarantine.recordCrash(content, seen.run)) this.crashes.push(seen);
   }
 
   /** This box saw a request answered whole. */
-  noteAnswered(content: string): void {
-    if (this.options.quarantine.noteAnswered(content)) this.cleared.push(content);
+  recordSuccess(content: string): void {
+    if (this.options.quarantine.recordSuccess(content)) this.cleared.push(content);
   }
 
   /** Runs once a tick: judges, and what was seen since the last one goes out together. */
@@ -111,26 +111,26 @@
       cleared: this.cleared.splice(0),
     };
     const { mesh, hall } = this.options;
-    this.sendWhere(0, news, (other) => mesh.isFlat || other === hall);
+    this.sendWhere(0, news, (other) => mesh.isFullMesh || other === hall);
     if (this.mustPassOn()) this.passOn(0, news);
   }
 
   /** Takes over what another box tells; passes on what is new here, if that falls to this box. */
-  handleNews({ hops, crashes, condemned, cleared }: CrashNews): void {
+  handleCrashReports({ hops, crashes, condemned, cleared }: CrashReports): void {
     const { quarantine, now } = this.options;
     const nowMs = now();
     this.noteDelays(crashes, hops, nowMs);
-    const heard = crashes.map(({ content, endedAgoMs, ...run }) => ({
+    const heard = crashes.map(({ content, witness, endedAgoMs, ...run }): SeenCrash => ({
       content,
-      run: { ...run, heardEndAtMs: nowMs - endedAgoMs },
+      run: { ...run, reporter: witness, localEndAtMs: nowMs - endedAgoMs },
     }));
     const told = condemned.filter(({ content, endedAgoMs }) =>
-      quarantine.noteVerdict(content, nowMs - endedAgoMs),
+      quarantine.recordRemoteQuarantine(content, nowMs - endedAgoMs),
     );
     const news: News = {
-      crashes: heard.filter(({ content, run }) => quarantine.noteCrash(content, run)),
+      crashes: heard.filter(({ content, run }) => quarantine.recordCrash(content, run)),
       condemned: told.map(({ content }) => content),
-      cleared: cleared.filter((content) => quarantine.noteAnswered(content)),
+      cleared: cleared.filter((content) => quarantine.recordSuccess(content)),
     };
     const isNews = news.crashes.length + news.condemned.length + news.cleared.length > 0;
     if (isNews && this.mustPassOn()) this.passOn(hops, news);
@@ -142,22 +142,29 @@
       const { content, witness, endedAgoMs } = report;
       const delayMs = this.clocks.note(witness, report.endedAtMs + endedAgoMs, nowMs);
       const loopMs = nowMs - this.tickedAtMs;
-      this.options.onNews?.({ content, witness, hops, heldMs: endedAgoMs, delayMs, loopMs });
+      this.options.onReport?.({
+        fingerprint: content,
+        reporter: witness,
+        hops,
+        heldMs: endedAgoMs,
+        delayMs,
+        loopMs,
+      });
     }
   }
 
   /** Takes over what a box tells on a link that just came up. */
-  handleGreeting({ hall, crashes = [], condemned = [] }: Pick<Heartbeat, 'hall'> & CrashGreeting): void {
+  handleHeartbeat({ hall, crashes = [], condemned = [] }: Pick<Heartbeat, 'hall'> & CrashSnapshot): void {
     if (crashes.length + condemned.length === 0) return;
     const hops = hall === this.options.hall ? 0 : HOPS_TO_OTHER_HALLS;
-    this.handleNews({ type: 'crashNews', hops, crashes, condemned, cleared: [] });
+    this.handleCrashReports({ type: 'crashNews', hops, crashes, condemned, cleared: [] });
   }
 
   /** What a box on a new link is told: in a large fleet by those that pass news on. */
-  createGreeting(): CrashGreeting {
+  createSnapshot(): CrashSnapshot {
     const { quarantine, mesh } = this.options;
-    if (quarantine.isEmpty || (!mesh.isFlat && !this.mustPassOn())) return {};
-    const worst = quarantine.listWorst(MAX_TOLD_ON_NEW_LINK);
+    if (quarantine.isEmpty || (!mesh.isFullMesh && !this.mustPassOn())) return {};
+    const worst = quarantine.listBySeverity(MAX_TOLD_ON_NEW_LINK);
     return {
       crashes: worst.flatMap(([content, { runs }]) => runs.map((run) => this.toReport({ content, run }))),
       condemned: this.listVerdicts(worst.map(([content]) => content)),
@@ -170,7 +177,7 @@
    */
   private mustTellVerdict(content: string): boolean {
     const { mesh, quarantine } = this.options;
-    return mesh.isFlat || quarantine.hasSeenCrash(content) || this.mustPassOn();
+    return mesh.isFullMesh || quarantine.hasLocalCrash(content) || this.mustPassOn();
   }
 
   /** News go from the hall where they were seen to the others, and there to all. */
@@ -182,14 +189,14 @@
 
   private sendWhere(hops: number, news: News, isMeant: (hall: string) => boolean): void {
     const { mesh } = this.options;
-    const frame: CrashNews = {
+    const frame: CrashReports = {
       type: 'crashNews',
       hops,
       crashes: news.crashes.map((seen) => this.toReport(seen)),
       condemned: this.listVerdicts(news.condemned),
       cleared: [...news.cleared],
     };
-    const meant = mesh.listLinked().filter(({ hall }) => isMeant(hall));
+    const meant = mesh.listReachable().filter(({ hall }) => isMeant(hall));
     mesh.sendToEach(
       meant.map(({ address }) => address),
       frame,
@@ -197,14 +204,14 @@
   }
 
   private toReport({ content, run }: SeenCrash): CrashedRunReport {
-    const { heardEndAtMs, isOwn: _isOwn, ...seen } = run;
-    return { content, ...seen, endedAgoMs: Math.max(0, this.options.now() - heardEndAtMs) };
+    const { reporter: witness, localEndAtMs: heardEndAtMs, isLocal: _isOwn, ...seen } = run;
+    return { content, ...seen, witness, endedAgoMs: Math.max(0, this.options.now() - heardEndAtMs) };
   }
 
-  private listVerdicts(contents: readonly string[]): CondemnedRequest[] {
+  private listVerdicts(contents: readonly string[]): QuarantinedRequest[] {
     const { quarantine } = this.options;
     return contents
-      .map((content) => ({ content, waitMs: quarantine.readWaitMs(content) }))
+      .map((content) => ({ content, waitMs: quarantine.readRemainingMs(content) }))
       .filter(({ waitMs }) => waitMs > 0)
       .map(({ content, waitMs }) => ({ content, endedAgoMs: QUARANTINE_MS - waitMs }));
   }
@@ -212,6 +219,6 @@
   /** Whether this box passes news on between halls: it is one of the first of its hall. In a small fleet none does. */
   private mustPassOn(): boolean {
     const { mesh, hall, rank } = this.options;
-    return !mesh.isFlat && findHallPlace(mesh, hall, rank) < RELAYS_PER_HALL;
+    return !mesh.isFullMesh && findHallPosition(mesh, hall, rank) < RELAYS_PER_HALL;
   }
 }
--- a/packages/router/src/quarantine/requestFingerprint.ts
+++ b/packages/router/src/quarantine/requestFingerprint.ts
@@ -5,7 +5,7 @@
 import { createHash } from 'node:crypto';
 
 /** What an endpoint is asked to do, and by whom. */
-export interface RequestContent {
+export interface FingerprintInput {
   readonly method: string;
   readonly host: string;
   /** With the query. */
@@ -28,7 +28,7 @@
  * @example
  * fingerprintRequest({ method: 'GET', host: 'shop.example', path: '/a', caller: 'team-1', body: undefined })
  */
-export function fingerprintRequest({ method, host, path, caller, body }: RequestContent): string {
+export function fingerprintRequest({ method, host, path, caller, body }: FingerprintInput): string {
   const hash = createHash('sha256');
   hash.update([method, host, path, caller, ''].join(SEPARATOR));
   if (body !== undefined) hash.update(body);
--- a/packages/router/src/quarantine/suspectTable.ts
+++ b/packages/router/src/quarantine/suspectTable.ts
@@ -11,12 +11,12 @@
 const MAX_QUARANTINED = 1_024;
 
 /** What is settled about a request. */
-export type Verdict =
+export type QuarantineState =
   | { readonly type: 'none' }
   /** Its crashes may be enough: it waits until what other boxes saw of them has come. */
   | { readonly type: 'pending'; readonly judgeAtMs: number }
   /** It is not sent to endpoints, by this box's count or by that of another. */
-  | { readonly type: 'condemned'; readonly untilMs: number }
+  | { readonly type: 'quarantined'; readonly untilMs: number }
   /** It was condemned, and the time for which that holds is over. */
   | { readonly type: 'released' };
 
@@ -25,7 +25,7 @@
   readonly runs: readonly CrashedRun[];
   /** Crashes one after the other. */
   readonly crashes: number;
-  readonly verdict: Verdict;
+  readonly state: QuarantineState;
   readonly changedAtMs: number;
 }
 
@@ -80,8 +80,8 @@
     return new LRUCache({ max, dispose: (record, content) => this.unindexAll(content, record) });
   }
 
-  private pickBook({ crashes, verdict }: SuspectRecord): SuspectBook {
-    if (verdict.type === 'condemned') return this.quarantined;
+  private pickBook({ crashes, state: verdict }: SuspectRecord): SuspectBook {
+    if (verdict.type === 'quarantined') return this.quarantined;
     return crashes < SEEN_TWICE_CRASHES ? this.seenOnce : this.seenTwice;
   }
 
--- a/packages/router/src/records.ts
+++ b/packages/router/src/records.ts
@@ -121,7 +121,7 @@
 }
 
 /** What the head of an endpoint's answer says beside its status. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   readonly requestId: string | undefined;
   /** Whether it carries the seal of the endpoint that made it. */
   readonly isSealed: boolean;
@@ -134,7 +134,7 @@
 }
 
 /** What the router adds to a request for one endpoint. */
-export interface ForwardedFacts {
+export interface ForwardedMetadata {
   readonly deadlineMs: number;
   /** Any other endpoint must refuse the request. */
   readonly endpointId: string;
--- a/packages/router/src/routerContext.ts
+++ b/packages/router/src/routerContext.ts
@@ -6,8 +6,8 @@
 import type { EndpointConnections } from './proxy/endpointConnections.js';
 import type { Quarantine } from './quarantine/quarantine.js';
 import type { QuarantineRelay } from './quarantine/quarantineRelay.js';
-import type { AnswerFacts } from './records.js';
-import type { HealthSign } from './systems/endpointHealth.js';
+import type { ResponseMetadata } from './records.js';
+import type { HealthSignal } from './systems/endpointHealth.js';
 import type { Placement } from './systems/placement.js';
 import type { RetryBudget } from './systems/retryBudget.js';
 import type { RouteIndex } from './systems/routeIndex.js';
@@ -18,7 +18,7 @@
   /** Runs once a tick. */
   tick(nowMs: number): void;
   /** The process stood still for so long. */
-  noteStall(stalledMs: number): void;
+  handlePause(stalledMs: number): void;
 }
 
 /** Shared tables, systems and adapters. */
@@ -32,7 +32,7 @@
   /** What is known against requests that were under way at endpoints that crashed. */
   readonly quarantine: Quarantine;
   /** Takes what this box sees of such requests, and tells the others. */
-  readonly crashNews: QuarantineRelay;
+  readonly quarantineRelay: QuarantineRelay;
   readonly metrics: RouterMetrics;
   readonly log: DecisionLog;
   /** Requests under way. */
@@ -43,11 +43,11 @@
   /** The configuration in force; undefined before the first. */
   readonly readIndex: () => RouteIndex | undefined;
   /** Whether the box knows what to serve and where: a configuration and endpoints. */
-  readonly isInformed: () => boolean;
+  readonly isInitialized: () => boolean;
   /** Whether a planned stop is under way. */
   readonly isStopping: () => boolean;
   /** Notes what a request tells about an endpoint. */
-  readonly noteSign: (row: EndpointRow, sign: HealthSign) => void;
+  readonly recordHealthSignal: (row: EndpointRow, sign: HealthSignal) => void;
   /** Records what the head of a response announces about its endpoint. */
-  readonly noteAnswerFacts: (row: EndpointRow, facts: AnswerFacts) => void;
+  readonly recordAnnouncements: (row: EndpointRow, facts: ResponseMetadata) => void;
 }
--- a/packages/router/src/routerOptions.ts
+++ b/packages/router/src/routerOptions.ts
@@ -3,7 +3,7 @@
 import type { HttpDialect } from './httpDialect.js';
 import type { RouterFrame } from './peers/peerFrames.js';
 import type { FleetConfiguration } from './records.js';
-import type { ColdBound } from './systems/coldEndpoints.js';
+import type { ColdBound } from './systems/coldEndpointLimiter.js';
 import type { Publication } from './systems/publishedState.js';
 import type { RetryBound } from './systems/retryBudget.js';
 
--- a/packages/router/src/systems/coldEndpoints.ts
+++ b/packages/router/src/systems/coldEndpointLimiter.ts
@@ -27,7 +27,7 @@
 const SETTLE_MS = 4_000;
 
 /** What sparing works with. */
-export interface ColdEndpointsOptions {
+export interface ColdEndpointLimiterOptions {
   /** Hall of this box. */
   readonly hall: string;
   readonly hasher: Hasher;
@@ -35,7 +35,7 @@
   /** When this box began to hear of others. */
   readonly startedAtMs: number;
   /** Whether this box has heard of another one since it started, or is the only one there is. */
-  readonly hasMetOthers: () => boolean;
+  readonly hasJoinedFleet: () => boolean;
   /** Address of this box. */
   readonly readAddress: () => string;
   /** Addresses of the boxes of this hall that were heard of lately, up or not, this one left out. */
@@ -43,11 +43,11 @@
 }
 
 /** One box's part in what cold endpoints get. */
-export class ColdEndpoints {
+export class ColdEndpointLimiter {
   /** When this box sent its last requests to each cold endpoint, by id. */
   private readonly sentAtMs = new Map<string, number[]>();
 
-  constructor(private readonly options: ColdEndpointsOptions) {}
+  constructor(private readonly options: ColdEndpointLimiterOptions) {}
 
   /**
    * Whether this box may send one request more to an endpoint.
@@ -64,7 +64,7 @@
   }
 
   /** Notes that this box sends a request to an endpoint. */
-  noteSent(row: EndpointRow, nowMs: number): void {
+  recordSent(row: EndpointRow, nowMs: number): void {
     if (nowMs >= row.coldUntilMs) {
       this.sentAtMs.delete(row.listing.id);
       return;
@@ -73,7 +73,7 @@
   }
 
   private isSettled(nowMs: number): boolean {
-    const { startedAtMs, hasMetOthers } = this.options;
+    const { startedAtMs, hasJoinedFleet: hasMetOthers } = this.options;
     return nowMs - startedAtMs >= SETTLE_MS && hasMetOthers();
   }
 
--- a/packages/router/src/systems/configurationChange.ts
+++ b/packages/router/src/systems/configurationChange.ts
@@ -54,14 +54,14 @@
    *
    * @example digest.read(configuration) === digest.read(readAgain) // true
    */
-  read(configuration: FleetConfiguration): number {
+  compute(configuration: FleetConfiguration): number {
     const own = this.hash(JSON.stringify([configuration.version, configuration.limits]));
     // Addition of 32-bit numbers does not depend on the order.
     return this.list(configuration).reduce((sum, { hash }) => (sum + hash) >>> 0, own);
   }
 
   /** Characters of a configuration's records, as a measure of what it takes to send them. */
-  measure(configuration: FleetConfiguration): number {
+  countChars(configuration: FleetConfiguration): number {
     return this.list(configuration).reduce((sum, { chars }) => sum + chars, 0);
   }
 
@@ -93,7 +93,7 @@
   return {
     from: before.version,
     version: after.version,
-    digest: digest.read(after),
+    digest: digest.compute(after),
     routes: diffRecords(before.routes, after.routes),
     services: diffRecords(before.services, after.services),
     teams: after.teams === undefined ? undefined : diffRecords(before.teams ?? [], after.teams),
@@ -115,7 +115,7 @@
     teams: change.teams === undefined ? undefined : applyRecords(before.teams ?? [], change.teams),
     limits: change.limits,
   };
-  return digest.read(after) === change.digest ? Ok(after) : Err('otherDigest');
+  return digest.compute(after) === change.digest ? Ok(after) : Err('otherDigest');
 }
 
 /** Most records are the very same object; only then is comparing a thousand of them cheap. */
--- a/packages/router/src/systems/drawEndpoint.ts
+++ b/packages/router/src/systems/drawEndpoint.ts
@@ -30,7 +30,7 @@
  * @param random between 0 and 1
  * @example leaveIfFull('a', ['a', 'b'], (id) => (id === 'a' ? 9 : 1), 0, Math.random) // nearly always 'b'
  */
-export function leaveIfFull<T>(
+export function divertIfOverloaded<T>(
   first: T,
   items: readonly T[],
   use: (item: T) => number,
@@ -41,7 +41,7 @@
   if (others.length === 0) return first;
   const dueUse = others.reduce((sum, item) => sum + use(item), 0) / others.length + allowance;
   if (random() < (dueUse / use(first)) ** LEAVING_POWER) return first;
-  return drawLower(others, use, random) ?? first;
+  return drawLowerOfTwo(others, use, random) ?? first;
 }
 
 /**
@@ -49,7 +49,7 @@
  *
  * @example drawLower([7, 3], (item) => item, Math.random) // 3, or 7 in one of four
  */
-export function drawLower<T>(
+export function drawLowerOfTwo<T>(
   items: readonly T[],
   score: (item: T) => number,
   random: () => number,
--- a/packages/router/src/systems/endpointDirectory.ts
+++ b/packages/router/src/systems/endpointDirectory.ts
@@ -6,7 +6,7 @@
  */
 import type { ListedEndpoint } from '../records.js';
 import type { EndpointTable } from '../tables/endpointTable.js';
-import type { PlatformContact } from './platformContact.js';
+import type { PlatformConnectivity } from './platformConnectivity.js';
 import { RestoredEntries } from './restoredEntries.js';
 
 /** A change of the published list. */
@@ -37,7 +37,7 @@
 
   constructor(
     private readonly table: EndpointTable,
-    private readonly contact: PlatformContact,
+    private readonly contact: PlatformConnectivity,
     private readonly handlers: EndpointDirectoryHandlers,
   ) {}
 
@@ -45,7 +45,7 @@
   apply(change: EndpointChange, nowMs: number): void {
     switch (change.type) {
       case 'listed':
-        this.restored.noteWritten(change.endpoint.id);
+        this.restored.stopScreening(change.endpoint.id);
         this.table.upsert(change.endpoint, nowMs);
         return;
       case 'removed':
@@ -57,9 +57,9 @@
   }
 
   /** Records that the platform was restored from a backup. */
-  noteRestored(nowMs: number): void {
+  handleRestore(nowMs: number): void {
     const rows = [...this.table.byId.values()].filter(({ listing }) => listing.state === 'leaving');
-    this.restored.noteRestored(
+    this.restored.handleRestore(
       rows.map(({ listing }) => listing.id),
       (id) => this.table.byId.has(id),
       nowMs,
@@ -79,7 +79,7 @@
 
   /** Runs once a tick: ends lapses that were not made good. */
   tick(nowMs: number): void {
-    if (this.table.lapsedCount === 0 || this.contact.readUnsettledMs(nowMs) > 0) return;
+    if (this.table.lapsedCount === 0 || this.contact.readGracePeriodMs(nowMs) > 0) return;
     for (const row of [...this.table.byId.values()]) {
       if (row.isLapsed) this.remove(row.listing.id, 'lapsed', nowMs);
     }
@@ -98,7 +98,7 @@
 
   /** A box that starts while the platform is away knows no other endpoints than those that peers keep. */
   private addLapsed(lapsed: readonly ListedEndpoint[], nowMs: number): void {
-    if (this.contact.readUnsettledMs(nowMs) === 0) return;
+    if (this.contact.readGracePeriodMs(nowMs) === 0) return;
     for (const endpoint of lapsed) {
       if (!this.table.byId.has(endpoint.id)) this.table.upsert(endpoint, nowMs);
     }
@@ -107,19 +107,19 @@
   private removeOrLapse(id: string, nowMs: number): void {
     const row = this.table.byId.get(id);
     if (row === undefined) return;
-    const unsettledMs = this.contact.readUnsettledMs(nowMs);
+    const unsettledMs = this.contact.readGracePeriodMs(nowMs);
     if (unsettledMs === 0) {
       this.remove(id, 'removed', nowMs);
       return;
     }
     if (row.isLapsed) return;
-    this.table.lapse(row);
+    this.table.markLapsed(row);
     this.handlers.onLapsed(id, unsettledMs);
   }
 
   private remove(id: string, reason: 'removed' | 'lapsed', nowMs: number): void {
     this.table.remove(id);
-    this.restored.noteRemoved(id, nowMs);
+    this.restored.recordRemoval(id, nowMs);
     this.handlers.onRemoved(id, reason);
   }
 }
--- a/packages/router/src/systems/endpointHealth.ts
+++ b/packages/router/src/systems/endpointHealth.ts
@@ -5,7 +5,7 @@
 import { assumeCold } from '../tables/endpointTable.js';
 
 /** How a request at an endpoint ended, as far as it tells about the endpoint. */
-export type HealthSign =
+export type HealthSignal =
   /** A whole answer, whatever its status below 500. */
   | 'answered'
   /** An error of its own. */
@@ -35,35 +35,35 @@
 /** Largest share of a service's endpoints that may be ejected for failures. */
 const MAX_EJECTED_SHARE = 0.34;
 /** Pace of connection checks of an unreachable endpoint. */
-export const REACH_CHECK_MS = 500;
+export const UNREACHABLE_CHECK_INTERVAL_MS = 500;
 
 /** What changed in the belief about an endpoint; undefined if nothing did. */
-export type StandingChange = 'ejected' | 'unreachable' | 'restored';
+export type HealthChange = 'ejected' | 'unreachable' | 'restored';
 
 /** Whether an endpoint may get new requests from this box. */
 export function isUsable(row: EndpointRow, nowMs: number): boolean {
-  switch (row.standing.type) {
+  switch (row.health.type) {
     case 'good':
       return true;
     case 'ejected':
-      return nowMs >= row.standing.untilMs;
+      return nowMs >= row.health.untilMs;
     case 'unreachable':
       return false;
   }
 }
 
 /** Takes note of how a request went; returns what changed. */
-export function noteSign(
+export function recordHealthSignal(
   table: EndpointTable,
   row: EndpointRow,
-  sign: HealthSign,
+  sign: HealthSignal,
   nowMs: number,
-): StandingChange | undefined {
+): HealthChange | undefined {
   switch (sign) {
     case 'answered':
       return noteSuccess(row, nowMs);
     case 'refused':
-      row.heardAtMs = nowMs;
+      row.lastResponseAtMs = nowMs;
       return undefined;
     case 'errored':
     case 'broke':
@@ -85,44 +85,48 @@
   row: EndpointRow,
   nowMs: number,
   isRefused: boolean,
-): StandingChange | undefined {
-  const { standing } = row;
+): HealthChange | undefined {
+  const { health: standing } = row;
   const isNew = standing.type !== 'unreachable';
-  const hasEnded = isRefused || (standing.type === 'unreachable' && standing.hasEnded);
-  row.standing = { type: 'unreachable', nextCheckMs: nowMs + REACH_CHECK_MS, hasEnded };
+  const hasEnded = isRefused || (standing.type === 'unreachable' && standing.isProcessGone);
+  row.health = {
+    type: 'unreachable',
+    nextCheckMs: nowMs + UNREACHABLE_CHECK_INTERVAL_MS,
+    isProcessGone: hasEnded,
+  };
   return isNew ? 'unreachable' : undefined;
 }
 
 /** A connection came up: the endpoint is there again. */
-export function noteReachable(row: EndpointRow, nowMs: number): StandingChange | undefined {
-  row.heardAtMs = nowMs;
-  if (row.standing.type !== 'unreachable') return undefined;
+export function markReachable(row: EndpointRow, nowMs: number): HealthChange | undefined {
+  row.lastResponseAtMs = nowMs;
+  if (row.health.type !== 'unreachable') return undefined;
   // What listens there now has started a moment ago, and its entry may not say so yet.
-  if (row.standing.hasEnded) assumeCold(row, nowMs);
-  row.standing = { type: 'good' };
+  if (row.health.isProcessGone) assumeCold(row, nowMs);
+  row.health = { type: 'good' };
   row.consecutiveFailures = 0;
   return 'restored';
 }
 
-function noteSuccess(row: EndpointRow, nowMs: number): StandingChange | undefined {
-  row.heardAtMs = nowMs;
+function noteSuccess(row: EndpointRow, nowMs: number): HealthChange | undefined {
+  row.lastResponseAtMs = nowMs;
   row.consecutiveFailures = 0;
   row.failureRate *= 1 - FAILURE_WEIGHT;
-  if (row.standing.type !== 'ejected' || nowMs < row.standing.untilMs) return undefined;
-  row.standing = { type: 'good' };
+  if (row.health.type !== 'ejected' || nowMs < row.health.untilMs) return undefined;
+  row.health = { type: 'good' };
   return 'restored';
 }
 
-function noteFailure(table: EndpointTable, row: EndpointRow, nowMs: number): StandingChange | undefined {
+function noteFailure(table: EndpointTable, row: EndpointRow, nowMs: number): HealthChange | undefined {
   row.consecutiveFailures += 1;
   row.failureRate += FAILURE_WEIGHT * (1 - row.failureRate);
   const isFailing = row.consecutiveFailures >= EJECT_AFTER || row.failureRate >= EJECT_RATE;
-  const isOnTrial = row.standing.type === 'ejected' && nowMs >= row.standing.untilMs;
-  if (row.standing.type === 'ejected' && !isOnTrial) return undefined;
+  const isOnTrial = row.health.type === 'ejected' && nowMs >= row.health.untilMs;
+  if (row.health.type === 'ejected' && !isOnTrial) return undefined;
   if ((!isFailing && !isOnTrial) || !mayEject(table, row, nowMs)) return undefined;
-  const times = row.standing.type === 'ejected' ? row.standing.times + 1 : 0;
+  const times = row.health.type === 'ejected' ? row.health.priorEjections + 1 : 0;
   const untilMs = nowMs + EJECT_MS * 2 ** Math.min(times, MAX_EJECT_DOUBLINGS);
-  row.standing = { type: 'ejected', untilMs, times };
+  row.health = { type: 'ejected', untilMs, priorEjections: times };
   row.consecutiveFailures = 0;
   return 'ejected';
 }
--- a/packages/router/src/systems/endpointNotices.ts
+++ b/packages/router/src/systems/endpointNotices.ts
@@ -1,5 +1,5 @@
 /** Records announcements that endpoints make in their response headers. */
-import type { AnswerFacts } from '../records.js';
+import type { ResponseMetadata } from '../records.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 
 /** An announcement that changed the recorded state of an endpoint. */
@@ -14,9 +14,9 @@
  *
  * @example noteAnswerFacts(row, { ...facts, isLeaving: true }, performance.now()) // ['leaving']
  */
-export function noteAnswerFacts(
+export function recordAnnouncements(
   { notice }: EndpointRow,
-  { isLeaving, backOffMs = 0 }: AnswerFacts,
+  { isLeaving, backOffMs = 0 }: ResponseMetadata,
   nowMs: number,
 ): EndpointNoticeChange[] {
   const changes: EndpointNoticeChange[] = [];
--- a/packages/router/src/systems/endpointObserver.ts
+++ b/packages/router/src/systems/endpointObserver.ts
@@ -1,17 +1,17 @@
 /** Updates the recorded state of endpoints from request outcomes and response headers, and logs changes. */
-import type { StandingLog } from '../observability/standingLog.js';
-import type { AnswerFacts } from '../records.js';
+import type { HealthLog } from '../observability/healthLog.js';
+import type { ResponseMetadata } from '../records.js';
 import type { EndpointRow, EndpointTable } from '../tables/endpointTable.js';
-import type { HealthSign } from './endpointHealth.js';
-import { noteSign } from './endpointHealth.js';
-import { noteAnswerFacts } from './endpointNotices.js';
+import type { HealthSignal } from './endpointHealth.js';
+import { recordHealthSignal } from './endpointHealth.js';
+import { recordAnnouncements } from './endpointNotices.js';
 
 export interface EndpointObserverOptions {
   readonly table: EndpointTable;
-  readonly standingLog: StandingLog;
+  readonly healthLog: HealthLog;
   readonly now: () => number;
   /** Checks the other endpoints of a hall when a connection to one of them has timed out. */
-  readonly suspectHall: (hall: string) => void;
+  readonly checkHall: (hall: string) => void;
 }
 
 /** Observes request outcomes and response headers of endpoints. */
@@ -23,11 +23,11 @@
    *
    * @example observer.noteSign(row, 'connectTimedOut') // also checks the other endpoints of its hall
    */
-  noteSign(row: EndpointRow, sign: HealthSign): void {
-    const { table, standingLog, now, suspectHall } = this.options;
-    const change = noteSign(table, row, sign, now());
+  record(row: EndpointRow, sign: HealthSignal): void {
+    const { table, healthLog: standingLog, now, checkHall: suspectHall } = this.options;
+    const change = recordHealthSignal(table, row, sign, now());
     if (change === 'unreachable' && sign === 'connectTimedOut') suspectHall(row.listing.hall);
-    if (change !== undefined) standingLog.noteEndpoint(row, change, sign);
+    if (change !== undefined) standingLog.logEndpointHealth(row, change, sign);
   }
 
   /**
@@ -35,8 +35,8 @@
    *
    * @example observer.noteAnswerFacts(row, dialect.readAnswer(503, { 'retry-after': '3' }))
    */
-  noteAnswerFacts(row: EndpointRow, facts: AnswerFacts): void {
-    const { now, standingLog } = this.options;
-    for (const change of noteAnswerFacts(row, facts, now())) standingLog.noteEndpointNotice(row, change);
+  recordAnnouncements(row: EndpointRow, facts: ResponseMetadata): void {
+    const { now, healthLog: standingLog } = this.options;
+    for (const change of recordAnnouncements(row, facts, now())) standingLog.logEndpointNotice(row, change);
   }
 }
--- a/packages/router/src/systems/evacuations.ts
+++ b/packages/router/src/systems/evacuations.ts
@@ -35,12 +35,12 @@
    *
    * @example evacuations.covers('mixco') // true between an order and its end
    */
-  covers(hall: string): boolean {
+  isEvacuated(hall: string): boolean {
     return this.orderedAtMs.has(hall);
   }
 
   /** Whether engines of a hall may hand over what they hold: always, but for those that have been under an order for long. */
-  mayHandOver(hall: string, nowMs: number): boolean {
+  mayServeCache(hall: string, nowMs: number): boolean {
     return nowMs - (this.orderedAtMs.get(hall) ?? nowMs) <= HAND_OVER_MS;
   }
 
--- a/packages/router/src/systems/feedDuty.ts
+++ b/packages/router/src/systems/feedRole.ts
@@ -44,7 +44,7 @@
 const THIN_LINK_RANK = 2 ** 32;
 
 /** What a box does about the platform. */
-export type FeedDuty =
+export type FeedRole =
   /**
    * Wait for changes, each call at most `waitMs`; after one let more gather for `gatherMs`, after a failure try again in
    * `retryMs`.
@@ -52,7 +52,7 @@
   | {
       readonly type: 'follow';
       readonly waitMs: number;
-      readonly gatherMs: number;
+      readonly coalesceMs: number;
       readonly retryMs: number;
     }
   /** Read the configuration once: peers have a newer one. */
@@ -61,21 +61,21 @@
   | { readonly type: 'rest' };
 
 /** What a box tells peers of its own reading. */
-export type FeedStanding = 'able' | 'lost';
+export type FeedState = 'able' | 'lost';
 
 /** A box of the same hall, as far as it could follow the platform. */
-export interface FeedCandidate {
+export interface WatcherCandidate {
   /** Rank by which all boxes of the hall agree; the least follows. */
   readonly rank: number;
-  readonly standing: FeedStanding;
+  readonly state: FeedState;
 }
 
 /** What the decision rests on. Times in milliseconds of the same clock. */
-export interface FeedFacts {
+export interface FeedRoleInput {
   readonly nowMs: number;
   readonly boxes: number;
-  readonly own: FeedCandidate;
-  readonly hallPeers: readonly FeedCandidate[];
+  readonly own: WatcherCandidate;
+  readonly hallPeers: readonly WatcherCandidate[];
   /** When a peer last confirmed that the platform had nothing newer. */
   readonly confirmedAtMs: number;
   /** Time in which a change has to be in force. */
@@ -90,7 +90,7 @@
  *
  * @example rankFollower(17, 7) > rankFollower(4_000_000_000, 140) // true
  */
-export function rankFollower(hash: number, linkMbps: number): number {
+export function rankWatcher(hash: number, linkMbps: number): number {
   return linkMbps < FOLLOWER_LINK_MBPS ? hash + THIN_LINK_RANK : hash;
 }
 
@@ -99,12 +99,12 @@
  *
  * @example decideFeedDuty({ ...facts, boxes: 3 }).type // 'follow'
  */
-export function decideFeedDuty(facts: FeedFacts): FeedDuty {
+export function decideFeedRole(facts: FeedRoleInput): FeedRole {
   const { boxes, applyBoundMs, hallPeers } = facts;
   if (boxes <= FOLLOW_ALL_BOXES) {
-    return { type: 'follow', waitMs: LONE_WAIT_MS, gatherMs: GATHER_MS_PER_BOX * boxes, retryMs: RETRY_MS };
+    return { type: 'follow', waitMs: LONE_WAIT_MS, coalesceMs: GATHER_MS_PER_BOX * boxes, retryMs: RETRY_MS };
   }
-  const place = findFollowerPlace(facts.own, hallPeers);
+  const place = findWatcherPosition(facts.own, hallPeers);
   if (place !== undefined) return createFollowing(place, applyBoundMs, RETRY_MS);
   const isStale = facts.nowMs - facts.confirmedAtMs > applyBoundMs * STALE_SHARE;
   if (isStale) {
@@ -114,32 +114,32 @@
   return facts.lacksConfiguration ? { type: 'readConfiguration' } : { type: 'rest' };
 }
 
-function createFollowing(place: FollowerPlace, applyBoundMs: number, retryMs: number): FeedDuty {
+function createFollowing(place: WatcherPosition, applyBoundMs: number, retryMs: number): FeedRole {
   return {
     type: 'follow',
     waitMs: applyBoundMs * CONFIRM_SHARES[place],
-    gatherMs: applyBoundMs * GATHER_SHARES[place],
+    coalesceMs: applyBoundMs * GATHER_SHARES[place],
     retryMs,
   };
 }
 
 /** Place of one that follows for its hall. */
-export type FollowerPlace = 0 | 1;
+export type WatcherPosition = 0 | 1;
 
 /**
  * Place among those of the hall that follow for the others: two boxes, of which the second one covers for the first.
  * Undefined if it is not one of them.
  */
-export function findFollowerPlace(
-  own: FeedCandidate,
-  hallPeers: readonly FeedCandidate[],
-): FollowerPlace | undefined {
-  if (own.standing === 'lost') return undefined;
-  const place = hallPeers.filter((peer) => peer.standing === 'able' && peer.rank < own.rank).length;
+export function findWatcherPosition(
+  own: WatcherCandidate,
+  hallPeers: readonly WatcherCandidate[],
+): WatcherPosition | undefined {
+  if (own.state === 'lost') return undefined;
+  const place = hallPeers.filter((peer) => peer.state === 'able' && peer.rank < own.rank).length;
   return place === 0 || place === 1 ? place : undefined;
 }
 
 /** Whether a box that lost the platform at a time still leaves it to others. */
-export function isCovered(lostAtMs: number, nowMs: number): boolean {
+export function isFeedLost(lostAtMs: number, nowMs: number): boolean {
   return nowMs - lostAtMs < COVERED_MS;
 }
--- a/packages/router/src/systems/plannedStop.ts
+++ b/packages/router/src/systems/gracefulShutdown.ts
@@ -11,7 +11,7 @@
 const STOP_MARGIN_MS = 500;
 
 /** What a planned stop works with. */
-export interface PlannedStopOptions {
+export interface GracefulShutdownOptions {
   readonly now: () => number;
   readonly log: DecisionLog;
   /** The process is killed this long after the stop was requested. */
@@ -19,23 +19,23 @@
   /** Requests under way. */
   readonly countExchanges: () => number;
   /** Refuses later connections of callers. */
-  readonly refuseNew: () => void;
+  readonly stopAccepting: () => void;
   readonly onStopped: () => void;
 }
 
 /** The stop of one box. */
-export class PlannedStop {
+export class GracefulShutdown {
   private requestedAtMs: number | undefined;
 
-  constructor(private readonly options: PlannedStopOptions) {}
+  constructor(private readonly options: GracefulShutdownOptions) {}
 
-  get isUnderWay(): boolean {
+  get isInProgress(): boolean {
     return this.requestedAtMs !== undefined;
   }
 
   /** Begins the stop; does nothing if it has begun. */
   request(): void {
-    if (this.isUnderWay) return;
+    if (this.isInProgress) return;
     const { now, log, countExchanges } = this.options;
     this.requestedAtMs = now();
     log.write('lifecycle', 'stopping', { requestsInFlight: countExchanges() });
@@ -44,7 +44,7 @@
   /** Runs once a tick. */
   tick(): void {
     if (this.requestedAtMs === undefined) return;
-    const { now, graceMs, countExchanges, refuseNew, onStopped } = this.options;
+    const { now, graceMs, countExchanges, stopAccepting: refuseNew, onStopped } = this.options;
     const stoppingMs = now() - this.requestedAtMs;
     if (stoppingMs < STOP_LINGER_MS) return;
     refuseNew();
--- a/packages/router/src/systems/loadExchange.ts
+++ b/packages/router/src/systems/loadExchange.ts
@@ -1,5 +1,5 @@
 /** Loads that boxes tell each other, so that each knows what all of them together have at an endpoint. */
-import type { Told } from './freshBook.js';
+import type { Report } from './recentReports.js';
 import type { PairList } from './pairList.js';
 import { addPairs, readPairs } from './pairList.js';
 import type { EndpointTable } from '../tables/endpointTable.js';
@@ -42,10 +42,10 @@
 }
 
 /** Adds up the sums that still count. */
-export function sumTold(told: readonly Told<LoadSum>[], nowMs: number): LoadSum {
+export function sumLoadReports(told: readonly Report<LoadSum>[], nowMs: number): LoadSum {
   return {
     loads: addPairs(told.map(({ value }) => value.loads)),
     boxes: told.reduce((sum, { value }) => sum + value.boxes, 0),
-    ageMs: Math.max(0, ...told.map(({ value, heardAtMs }) => value.ageMs + nowMs - heardAtMs)),
+    ageMs: Math.max(0, ...told.map(({ value, receivedAtMs: heardAtMs }) => value.ageMs + nowMs - heardAtMs)),
   };
 }
--- a/packages/router/src/systems/placement.ts
+++ b/packages/router/src/systems/placement.ts
@@ -10,15 +10,15 @@
 import type { ColdStart, PromptPart } from '../records.js';
 import { readFleetLoad } from '../tables/endpointTable.js';
 import type { EndpointRow, EndpointTable } from '../tables/endpointTable.js';
-import type { ColdEndpoints } from './coldEndpoints.js';
-import { drawLower, drawOne, leaveIfFull } from './drawEndpoint.js';
+import type { ColdEndpointLimiter } from './coldEndpointLimiter.js';
+import { drawLowerOfTwo, drawOne, divertIfOverloaded } from './drawEndpoint.js';
 import { isUsable } from './endpointHealth.js';
 import { choosePlainEndpoint } from './plainPlacement.js';
 import type { PromptDemand } from './promptDemand.js';
 import { isLeaving, readBackOffMs } from './endpointNotices.js';
 import type { Evacuations } from './evacuations.js';
-import type { PromptHomes } from './promptHomes.js';
-import { MAX_HOLDERS } from './promptHomes.js';
+import type { PromptHolders } from './promptHolders.js';
+import { MAX_HOLDERS } from './promptHolders.js';
 
 /** How the loads of other boxes come: from each of them, or as sums by way of others, which makes them older. */
 export type LoadPath = 'direct' | 'relayed';
@@ -84,11 +84,12 @@
   | 'plain';
 
 /** Why a request goes nowhere: result codes of its refusal. */
-export type NoPlaceReason = 'noEndpoint' | 'hallsEvacuated' | 'endpointsBackingOff' | 'endpointsCold';
+export type PlacementFailureReason =
+  'noEndpoint' | 'hallsEvacuated' | 'endpointsBackingOff' | 'endpointsCold';
 
 /** Why placement failed, and when a retry may succeed. */
 export interface PlacementFailure {
-  readonly reason: NoPlaceReason;
+  readonly reason: PlacementFailureReason;
   /** Time until the first back-off ends; 0 if the failure is not due to back-offs. */
   readonly waitMs: number;
 }
@@ -117,12 +118,12 @@
   readonly hall: string;
   /** Between 0 and 1. */
   readonly random: () => number;
-  readonly homes: PromptHomes;
+  readonly promptHolders: PromptHolders;
   readonly demand: PromptDemand;
   /** Halls that are to be emptied: their endpoints get nothing. */
   readonly evacuations: Evacuations;
   /** Decides which cold endpoints this box may send to. */
-  readonly cold: ColdEndpoints;
+  readonly cold: ColdEndpointLimiter;
   /** Region of a hall; undefined if it is not known. */
   readonly findRegion: (hall: string) => string | undefined;
   readonly readLoadPath: () => LoadPath;
@@ -137,7 +138,7 @@
   /** The endpoint to send to, which then counts as sent; undefined if none can take the request. */
   choose(request: PlacementRequest, nowMs: number): PlacementChoice | undefined {
     const choice = this.find(request, nowMs);
-    if (choice !== undefined) this.options.cold.noteSent(choice.row, nowMs);
+    if (choice !== undefined) this.options.cold.recordSent(choice.row, nowMs);
     return choice;
   }
 
@@ -146,7 +147,7 @@
    *
    * @example placement.explainNone(request, nowMs) // { reason: 'hallsEvacuated', waitMs: 0 }
    */
-  explainNone(request: PlacementRequest, nowMs: number): PlacementFailure {
+  explainFailure(request: PlacementRequest, nowMs: number): PlacementFailure {
     const live = this.listLive(request.service);
     if (live.length === 0) return { reason: 'noEndpoint', waitMs: 0 };
     const open = this.listOpen(live);
@@ -169,7 +170,7 @@
   }
 
   private find(request: PlacementRequest, nowMs: number): PlacementChoice | undefined {
-    const { hasher, hall, random, homes, demand } = this.options;
+    const { hasher, hall, random, promptHolders: homes, demand } = this.options;
     const live = this.listLive(request.service);
     const open = this.listAllowed(this.listOpen(live), request);
     const accepting = open.filter((row) => readBackOffMs(row, nowMs) === 0);
@@ -184,8 +185,8 @@
     }
     const key = hasher.h32(readSharedPart(request.promptParts) ?? prompt);
     const holders = new Set(homes.list(key));
-    demand.note(key);
-    const width = demand.readWidth(key, nowMs, this.options.readLoadAgeMs());
+    demand.recordRequest(key);
+    const width = demand.readSpreadWidth(key, nowMs, this.options.readLoadAgeMs());
     const home = this.chooseHome(rows, prompt, meanLoad, width);
     if (home === undefined) return undefined;
     const { row, way } = home;
@@ -194,7 +195,7 @@
       : (this.findHolder(row, request, prompt, holders, nowMs) ??
         this.guessHolder(row, request, prompt, nowMs));
     // Of a hot prompt a few holders are enough to take it from: naming all of them each time would be news without end.
-    if (way !== 'hot' || holders.size < MAX_HOLDERS) homes.note(key, row.tag);
+    if (way !== 'hot' || holders.size < MAX_HOLDERS) homes.record(key, row.tag);
     return describeChoice(row, way, meanLoad, cacheSource);
   }
 
@@ -206,7 +207,7 @@
   /** Endpoints outside the halls that are to be emptied. */
   private listOpen(rows: readonly EndpointRow[]): readonly EndpointRow[] {
     const { evacuations } = this.options;
-    return evacuations.isEmpty ? rows : rows.filter((row) => !evacuations.covers(row.listing.hall));
+    return evacuations.isEmpty ? rows : rows.filter((row) => !evacuations.isEvacuated(row.listing.hall));
   }
 
   /** Endpoints of the regions that the request may reach. */
@@ -244,7 +245,7 @@
     const { random } = this.options;
     const withRoom = this.listWithRoom(rows, meanLoad) ?? this.listWithRoom(rows, readMeanLoad(rows));
     if (withRoom === undefined) {
-      const least = drawLower(rows, readFleetLoad, random);
+      const least = drawLowerOfTwo(rows, readFleetLoad, random);
       return least === undefined ? undefined : { row: least, way: 'noRoom' };
     }
     if (width > 1) {
@@ -252,7 +253,7 @@
       const drawn = drawOne(first, random);
       if (drawn === undefined) return undefined;
       const readNext = (row: EndpointRow): number => readFleetLoad(row) + 1;
-      return { row: leaveIfFull(drawn, first, readNext, 0, random), way: 'hot' };
+      return { row: divertIfOverloaded(drawn, first, readNext, 0, random), way: 'hot' };
     }
     // Ranking hashes each endpoint: most homes have room, and then once is enough.
     const home = this.findBestRanked(rows, prompt);
@@ -305,8 +306,8 @@
   private listReachable(request: PlacementRequest, nowMs: number): EndpointRow[] {
     const { table, evacuations } = this.options;
     return this.listAllowed(table.listService(request.service), request)
-      .filter((row) => row.standing.type !== 'unreachable' && !row.isLapsed)
-      .filter((row) => evacuations.mayHandOver(row.listing.hall, nowMs));
+      .filter((row) => row.health.type !== 'unreachable' && !row.isLapsed)
+      .filter((row) => evacuations.mayServeCache(row.listing.hall, nowMs));
   }
 
   /** The first few in the order of endpoints that all boxes share for a prompt. */
--- a/packages/router/src/systems/plainPlacement.ts
+++ b/packages/router/src/systems/plainPlacement.ts
@@ -5,7 +5,7 @@
  * best, all would take the same endpoint until they hear otherwise. So only that part of the requests leaves an endpoint
  * which it has too many of, and those that leave are spread.
  */
-import { drawOne, leaveIfFull } from './drawEndpoint.js';
+import { drawOne, divertIfOverloaded } from './drawEndpoint.js';
 import { readFleetLoad } from '../tables/endpointTable.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 
@@ -28,7 +28,7 @@
   const near = rows.filter((row) => row.listing.hall === hall);
   const first = drawOne(near.length > 0 ? near : rows, random);
   if (first === undefined) return undefined;
-  return leaveIfFull(first, rows, readUse, near.length > 0 ? HALL_PREFERENCE : 0, random);
+  return divertIfOverloaded(first, rows, readUse, near.length > 0 ? HALL_PREFERENCE : 0, random);
 }
 
 /** Share of its slots in use if it takes one request more. */
--- a/packages/router/src/systems/platformContact.ts
+++ b/packages/router/src/systems/platformConnectivity.ts
@@ -34,10 +34,10 @@
 }
 
 /** By whom a box knows what the platform publishes: its own calls, peers that read it, or nobody. */
-export type ContactKind = 'own' | 'peers' | 'none';
+export type ConnectivitySource = 'own' | 'peers' | 'none';
 
 /** One box's contact with the platform. Times in milliseconds of one clock. */
-export class PlatformContact {
+export class PlatformConnectivity {
   private isReading = false;
   private answeredAtMs = -Infinity;
   /** Reports of peers that still hold, by address. */
@@ -50,7 +50,7 @@
   private toldSettledAtMs = 0;
 
   /** The platform answered a call of this box. */
-  noteAnswer(nowMs: number): void {
+  recordAnswer(nowMs: number): void {
     this.noteReturn(nowMs);
     // A box that just started knows nothing of the platform's past: its doubts are not the others'.
     if (!this.isReading && this.answeredAtMs !== -Infinity) this.ownSettledAtMs = this.settledAtMs;
@@ -64,25 +64,25 @@
    *
    * @param isOwn whether this box detected the restore itself and reports it to its peers
    */
-  noteRestored(isOwn: boolean, nowMs: number): void {
+  handleRestore(isOwn: boolean, nowMs: number): void {
     this.settledAtMs = Math.max(this.settledAtMs, nowMs + LAPSE_MS);
     if (isOwn) this.ownSettledAtMs = this.settledAtMs;
   }
 
   /** A call of this box failed. */
-  noteFailure(): void {
+  recordFailure(): void {
     this.isReading = false;
   }
 
   /** A peer that follows the platform told all that changed; entries that vanish may have lapsed for so long. */
-  noteTold(address: string, unsettledMs: number, nowMs: number): void {
-    this.noteConfirmed(address, { doubtMs: unsettledMs, saidAgoMs: 0 }, nowMs);
+  recordPeerUpdate(address: string, unsettledMs: number, nowMs: number): void {
+    this.recordPeerConfirmation(address, { doubtMs: unsettledMs, saidAgoMs: 0 }, nowMs);
     this.reports.set(address, { confirmedAtMs: nowMs, toldAtMs: nowMs });
     this.toldSettledAtMs = Math.max(this.toldSettledAtMs, nowMs + unsettledMs);
   }
 
   /** A peer that is in touch with the platform has nothing newer than this box. */
-  noteConfirmed(address: string, report: PlatformReport, nowMs: number): void {
+  recordPeerConfirmation(address: string, report: PlatformReport, nowMs: number): void {
     const confirmedAtMs = nowMs - report.saidAgoMs;
     if (!holds(confirmedAtMs, nowMs)) return;
     this.noteReturn(nowMs);
@@ -93,7 +93,7 @@
   }
 
   /** A peer is not in touch with the platform any more: in an outage of the platform all say so within half a second. */
-  noteWithdrawn(address: string): void {
+  removePeerReport(address: string): void {
     this.reports.delete(address);
   }
 
@@ -104,20 +104,20 @@
   }
 
   /** By whom this box knows what the platform publishes. */
-  readKind(nowMs: number): ContactKind {
+  readSource(nowMs: number): ConnectivitySource {
     if (this.isReading) return 'own';
     return holds(this.readNewest('confirmedAtMs'), nowMs) ? 'peers' : 'none';
   }
 
   /** Whether every change reaches this box by itself: it need not ask for the list. */
-  isFollowing(nowMs: number): boolean {
+  isReceivingUpdates(nowMs: number): boolean {
     return this.isReading || holds(this.readNewest('toldAtMs'), nowMs);
   }
 
   /** For how much longer an entry that vanishes may only have lapsed; infinite while nobody reads the platform. */
-  readUnsettledMs(nowMs: number): number {
+  readGracePeriodMs(nowMs: number): number {
     const leftMs = Math.max(0, this.settledAtMs - nowMs);
-    switch (this.readKind(nowMs)) {
+    switch (this.readSource(nowMs)) {
       case 'own':
         return leftMs;
       case 'peers':
@@ -135,7 +135,7 @@
    *
    * @example new PlatformContact().readReport(0) // undefined
    */
-  readReport(nowMs: number): PlatformReport | undefined {
+  createReport(nowMs: number): PlatformReport | undefined {
     if (this.isReading && nowMs - this.answeredAtMs < ANSWER_LIFE_MS) {
       return { doubtMs: readLeftMs(this.ownSettledAtMs, nowMs), saidAgoMs: 0 };
     }
@@ -153,7 +153,7 @@
 
   /** Whoever was in touch all the time saw no outage, whoever of them answers now. */
   private noteReturn(nowMs: number): void {
-    if (this.readKind(nowMs) === 'none') this.settledAtMs = Math.max(this.settledAtMs, nowMs + LAPSE_MS);
+    if (this.readSource(nowMs) === 'none') this.settledAtMs = Math.max(this.settledAtMs, nowMs + LAPSE_MS);
   }
 }
 
--- a/packages/router/src/systems/promptDemand.ts
+++ b/packages/router/src/systems/promptDemand.ts
@@ -5,7 +5,7 @@
  * are hot. A hot prompt is spread over several endpoints at once: loads are up to a
  * second old, and in that time a single endpoint would get all of its requests.
  */
-import { FreshBook, TOLD_LIFE_MS } from './freshBook.js';
+import { RecentReports, REPORT_TTL_MS } from './recentReports.js';
 import type { PairList } from './pairList.js';
 import { addPairs, readPairs } from './pairList.js';
 
@@ -32,7 +32,7 @@
   private learnedAtMs = -Infinity;
 
   /** A request for a prompt came to this box. */
-  note(prompt: number): void {
+  recordRequest(prompt: number): void {
     this.counts.set(prompt, (this.counts.get(prompt) ?? 0) + 1);
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** A speaker names all hot prompts, with requests a second. */
-  learn(hot: PairList, nowMs: number): void {
+  setHotPrompts(hot: PairList, nowMs: number): void {
     this.hot = new Map(readPairs(hot));
     this.learnedAtMs = nowMs;
   }
@@ -55,23 +55,23 @@
    *
    * @param loadAgeMs how old the oldest loads are that this box knows
    */
-  readWidth(prompt: number, nowMs: number, loadAgeMs: number): number {
+  readSpreadWidth(prompt: number, nowMs: number, loadAgeMs: number): number {
     const ageS = Math.max(LEAST_LOAD_AGE_MS, loadAgeMs) / MS_PER_S;
-    const perS = nowMs - this.learnedAtMs > TOLD_LIFE_MS ? 0 : (this.hot.get(prompt) ?? 0);
+    const perS = nowMs - this.learnedAtMs > REPORT_TTL_MS ? 0 : (this.hot.get(prompt) ?? 0);
     return Math.max(1, Math.ceil((perS * ageS) / REQUESTS_UNHEARD));
   }
 }
 
 /** What a speaker adds up, and in a small fleet every box. */
-export class DemandBook {
+export class DemandAggregate {
   private readonly current = new Map<number, number>();
   private periods: PairList[] = [];
   private hasNews = false;
-  private readonly halls = new FreshBook<PairList>();
+  private readonly halls = new RecentReports<PairList>();
   private hot = new Map<number, number>();
 
   /** A box of the hall tells what it was asked for since it told last. */
-  noteBox(counts: PairList): void {
+  addBoxCounts(counts: PairList): void {
     for (const [prompt, count] of readPairs(counts)) {
       const asked = (this.current.get(prompt) ?? 0) + count;
       this.current.set(prompt, asked);
@@ -80,31 +80,31 @@
   }
 
   /** Whether a prompt became hot within this period, by what the own boxes were asked for; asked once. */
-  takeNews(): boolean {
+  takeNewlyHot(): boolean {
     const { hasNews } = this;
     this.hasNews = false;
     return hasNews;
   }
 
   /** Takes what came in this period for enough to tell which prompts are hot. */
-  refresh(nowMs: number): void {
+  updateHot(nowMs: number): void {
     this.hot = this.findHot(nowMs);
   }
 
   /** Another hall tells what it was asked for within a second. */
-  noteHall(hall: string, counts: PairList, nowMs: number): void {
-    this.halls.note(hall, counts, nowMs);
+  setHallCounts(hall: string, counts: PairList, nowMs: number): void {
+    this.halls.record(hall, counts, nowMs);
   }
 
   /** Ends a period. */
-  advance(nowMs: number): void {
+  endPeriod(nowMs: number): void {
     this.periods = this.addCurrent();
     this.current.clear();
-    this.refresh(nowMs);
+    this.updateHot(nowMs);
   }
 
   /** What the own hall was asked for within a second, as other halls are told. */
-  listHall(): number[] {
+  listHallCounts(): number[] {
     const counts = new Map(readPairs(addPairs(this.listRecent())));
     for (const [prompt, count] of counts) if (count < LEAST_TOLD) counts.delete(prompt);
     return mostWanted(counts);
@@ -126,7 +126,7 @@
 
   /** A prompt counts as hot at once, and cools down slowly: a lull between bursts does not move it back. */
   private findHot(nowMs: number): Map<number, number> {
-    const lists = [...this.listRecent(), ...this.halls.listFresh(nowMs).map(({ value }) => value)];
+    const lists = [...this.listRecent(), ...this.halls.listRecent(nowMs).map(({ value }) => value)];
     const wanted = new Map(readPairs(addPairs(lists)));
     const hot = new Map<number, number>();
     for (const [prompt, perS] of this.hot) {
--- a/packages/router/src/systems/promptHomes.ts
+++ b/packages/router/src/systems/promptHolders.ts
@@ -4,7 +4,7 @@
  */
 
 /** A prompt and an endpoint that holds it, in turn, each as a 32-bit number. */
-export type HomeList = readonly number[];
+export type HolderList = readonly number[];
 
 /** Prompts that are remembered; the one used longest ago gives way. */
 const MAX_PROMPTS = 16_384;
@@ -14,7 +14,7 @@
 const MAX_UNTOLD_PAIRS = 4_096;
 
 /** What one box knows of the homes of prompts. */
-export class PromptHomes {
+export class PromptHolders {
   /** Tags of endpoints by prompt, the one noted last at the end. The prompt used last is the last of the map. */
   private readonly holders = new Map<number, readonly number[]>();
   private untold: number[] = [];
@@ -25,24 +25,24 @@
   }
 
   /** This box sends a prompt to an endpoint. */
-  note(prompt: number, tag: number): void {
+  record(prompt: number, tag: number): void {
     if (!this.remember(prompt, tag)) return;
     this.untold.push(prompt, tag);
     if (this.untold.length > 2 * MAX_UNTOLD_PAIRS) this.untold = this.untold.slice(-2 * MAX_UNTOLD_PAIRS);
   }
 
   /** Other boxes tell which endpoints hold which prompts. */
-  learn(homes: HomeList): void {
+  addReported(homes: HolderList): void {
     for (let at = 0; at + 1 < homes.length; at += 2) this.remember(homes[at] ?? 0, homes[at + 1] ?? 0);
   }
 
   /** What this box noted and has not told yet, so many pairs at most; afterwards it counts as told. */
-  takeUntold(maxPairs: number): number[] {
+  takeUnsent(maxPairs: number): number[] {
     return this.untold.splice(0, 2 * maxPairs);
   }
 
   /** What is known, the prompts used last first, for a box that just came up or was cut off. */
-  listNewest(maxPairs: number): number[] {
+  listRecent(maxPairs: number): number[] {
     const pairs: number[] = [];
     for (const [prompt, tags] of [...this.holders].reverse()) {
       for (const tag of tags) pairs.push(prompt, tag);
--- a/packages/router/src/systems/publishedState.ts
+++ b/packages/router/src/systems/publishedState.ts
@@ -22,8 +22,8 @@
 import { Evacuations } from './evacuations.js';
 import type { ListPosition } from './listPosition.js';
 import { isNewerPosition, NO_LIST } from './listPosition.js';
-import type { ContactKind, PlatformReport } from './platformContact.js';
-import { PlatformContact } from './platformContact.js';
+import type { ConnectivitySource, PlatformReport } from './platformConnectivity.js';
+import { PlatformConnectivity } from './platformConnectivity.js';
 import { RouteIndex } from './routeIndex.js';
 import type { ListChanges } from './snapshotDifference.js';
 import { diffSnapshot } from './snapshotDifference.js';
@@ -57,7 +57,7 @@
   readonly onLimits: (limits: CallerLimits) => void;
   readonly onEndpointRemoved: (id: string) => void;
   /** The box knows what to serve and where, for the first time. */
-  readonly onInformed: () => void;
+  readonly onInitialized: () => void;
 }
 
 /** The published values of one box. */
@@ -69,8 +69,8 @@
   private position = NO_LIST;
   /** Latest era seen in an answer of the platform or a list from a peer. */
   private era = NO_LIST.era;
-  private readonly contact = new PlatformContact();
-  private contactKind: ContactKind = 'none';
+  private readonly contact = new PlatformConnectivity();
+  private contactKind: ConnectivitySource = 'none';
   private readonly directory: EndpointDirectory;
   /** Halls that get nothing new. */
   readonly evacuations = new Evacuations();
@@ -91,7 +91,7 @@
   /** About what the configuration in force takes to send, in characters; 0 before the first. */
   get configurationChars(): number {
     const { currentIndex } = this;
-    return currentIndex === undefined ? 0 : this.digest.measure(currentIndex.configuration);
+    return currentIndex === undefined ? 0 : this.digest.countChars(currentIndex.configuration);
   }
 
   /** Version of the configuration in force; 0 before the first. */
@@ -110,22 +110,22 @@
   }
 
   /** Whether the platform answered last time, this box or a peer that reads it. */
-  get isInTouch(): boolean {
-    return this.contact.readKind(this.options.now()) !== 'none';
+  get isPlatformConnected(): boolean {
+    return this.contact.readSource(this.options.now()) !== 'none';
   }
 
   /** Whether every change of the list reaches this box by itself. */
-  get isFollowing(): boolean {
-    return this.contact.isFollowing(this.options.now());
+  get isReceivingUpdates(): boolean {
+    return this.contact.isReceivingUpdates(this.options.now());
   }
 
   /** What peers are told of the platform; undefined if this box cannot say. */
   get platformReport(): PlatformReport | undefined {
-    return this.contact.readReport(this.options.now());
+    return this.contact.createReport(this.options.now());
   }
 
   /** Whether the box knows what to serve and where. */
-  get isInformed(): boolean {
+  get isInitialized(): boolean {
     return this.currentIndex !== undefined && this.options.table.byId.size > 0;
   }
 
@@ -174,7 +174,7 @@
    * Takes over what a peer says changed in the configuration; older changes are passed over. The change may begin at any
    * version that was in force here: followers that cover for each other do not see the same versions.
    */
-  adoptChange(change: ConfigurationChange): Result<void, ChangeFailure> {
+  adoptConfigurationChange(change: ConfigurationChange): Result<void, ChangeFailure> {
     if (change.version <= this.configurationVersion) return Ok(undefined);
     const before = this.configurations.find((kept) => kept.version === change.from);
     if (before === undefined) return Err('otherVersion');
@@ -185,7 +185,7 @@
   }
 
   /** What leads from a version that was in force to the one that is; undefined if that version is not kept. */
-  describeChange(fromVersion: number): ConfigurationChange | undefined {
+  createChangeSince(fromVersion: number): ConfigurationChange | undefined {
     const after = this.currentIndex?.configuration;
     const before = this.configurations.find((kept) => kept.version === fromVersion);
     if (after === undefined || before === undefined || before === after) return undefined;
@@ -204,7 +204,7 @@
 
   /** Takes over changes of the list of endpoints and of the halls to be emptied, which then are as new as `position`. */
   applyLists(changes: ListChanges, position: ListPosition, source: ValueSource): void {
-    const wasInformed = this.isInformed;
+    const wasInformed = this.isInitialized;
     this.noteEra(position, source);
     const { endpointChanges, evacuationChanges } = this.screen(changes);
     if (isNewerPosition(position, this.position)) this.position = position;
@@ -216,28 +216,28 @@
   }
 
   /** The platform does not answer this box. */
-  noteReadFailed(reason: string): void {
-    const wasReading = this.contact.readKind(this.options.now()) === 'own';
-    this.contact.noteFailure();
+  handleReadFailure(reason: string): void {
+    const wasReading = this.contact.readSource(this.options.now()) === 'own';
+    this.contact.recordFailure();
     if (wasReading) this.options.log.write('lifecycle', 'platformLost', { reason });
     this.noteContact();
   }
 
   /** A peer that follows the platform told this box all that changed. */
-  noteTold(address: string, unsettledMs: number): void {
-    this.contact.noteTold(address, unsettledMs, this.options.now());
+  recordPeerUpdate(address: string, unsettledMs: number): void {
+    this.contact.recordPeerUpdate(address, unsettledMs, this.options.now());
     this.noteContact();
   }
 
   /** A peer that is in touch with the platform has nothing newer than this box. */
-  noteConfirmed(address: string, report: PlatformReport): void {
-    this.contact.noteConfirmed(address, report, this.options.now());
+  recordPeerConfirmation(address: string, report: PlatformReport): void {
+    this.contact.recordPeerConfirmation(address, report, this.options.now());
     this.noteContact();
   }
 
   /** A peer is not in touch with the platform any more. */
-  noteWithdrawn(address: string): void {
-    this.contact.noteWithdrawn(address);
+  removePeerReport(address: string): void {
+    this.contact.removePeerReport(address);
     this.noteContact();
   }
 
@@ -250,8 +250,8 @@
 
   private noteAnswer(): void {
     const { log, now } = this.options;
-    const wasReading = this.contact.readKind(now()) === 'own';
-    this.contact.noteAnswer(now());
+    const wasReading = this.contact.readSource(now()) === 'own';
+    this.contact.recordAnswer(now());
     if (!wasReading) log.write('lifecycle', 'platformRegained', { revision: this.position.revision });
     this.noteContact();
   }
@@ -271,8 +271,8 @@
       listRevision: this.position.revision,
       source,
     });
-    this.contact.noteRestored(source === 'platform', now());
-    this.directory.noteRestored(now());
+    this.contact.handleRestore(source === 'platform', now());
+    this.directory.handleRestore(now());
   }
 
   /** Filters outdated entries out of lists that were read shortly after a restore. */
@@ -304,19 +304,19 @@
   /** Logs by whom the platform is known, whenever that changes. */
   private noteContact(): void {
     const { log, now } = this.options;
-    const contact = this.contact.readKind(now());
+    const contact = this.contact.readSource(now());
     if (contact === this.contactKind) return;
     log.write('lifecycle', 'platformContact', {
       contact,
       before: this.contactKind,
       revision: this.position.revision,
-      unsettledMs: toLogMs(this.contact.readUnsettledMs(now())),
+      unsettledMs: toLogMs(this.contact.readGracePeriodMs(now())),
     });
     this.contactKind = contact;
   }
 
   private install(configuration: FleetConfiguration, source: ValueSource): void {
-    const wasInformed = this.isInformed;
+    const wasInformed = this.isInitialized;
     const before = this.currentIndex?.configuration.version;
     this.currentIndex = new RouteIndex(configuration);
     this.configurations.push(configuration);
@@ -380,7 +380,7 @@
   }
 
   private notifyOnceInformed(wasInformed: boolean): void {
-    if (!wasInformed && this.isInformed) this.options.onInformed();
+    if (!wasInformed && this.isInitialized) this.options.onInitialized();
   }
 
   private handleRemoved(id: string, reason: string): void {
--- a/packages/router/src/systems/reachability.ts
+++ b/packages/router/src/systems/reachability.ts
@@ -4,8 +4,8 @@
  */
 import type { EndpointConnections } from '../proxy/endpointConnections.js';
 import type { EndpointRow, EndpointTable } from '../tables/endpointTable.js';
-import type { StandingChange } from './endpointHealth.js';
-import { markUnreachable, noteReachable } from './endpointHealth.js';
+import type { HealthChange } from './endpointHealth.js';
+import { markUnreachable, markReachable } from './endpointHealth.js';
 
 /** An endpoint with requests of this box that says nothing for this long is checked. */
 const SUSPECT_MS = 300;
@@ -13,7 +13,7 @@
 const HEARD_LATELY_MS = 250;
 
 /** Called when the belief about an endpoint changes. */
-export type OnStandingChange = (row: EndpointRow, change: StandingChange, because: string) => void;
+export type OnHealthChange = (row: EndpointRow, change: HealthChange, because: string) => void;
 
 /** What the checks work with. */
 export interface ReachabilityOptions {
@@ -22,7 +22,7 @@
   readonly now: () => number;
   /** Whether a hall is to be emptied: nothing is asked of an endpoint there that holds no requests. */
   readonly isEvacuated: (hall: string) => boolean;
-  readonly onChange: OnStandingChange;
+  readonly onChange: OnHealthChange;
 }
 
 /** Checks connections once a tick. */
@@ -43,41 +43,38 @@
 
   private async check(row: EndpointRow): Promise<void> {
     row.isBeingChecked = true;
-    const wasUnreachable = row.standing.type === 'unreachable';
+    const wasUnreachable = row.health.type === 'unreachable';
     const reached = await this.options.connections.check(row);
     row.isBeingChecked = false;
     const nowMs = this.options.now();
     if (reached.ok) {
       // A connection proves only that the host is there: the requests it holds may still be mute.
-      const change = noteReachable(row, nowMs);
+      const change = markReachable(row, nowMs);
       if (change !== undefined) this.options.onChange(row, change, 'connection check');
       return;
     }
     const change = markUnreachable(row, nowMs, reached.val === 'connectRefused');
-    if (reached.val === 'connectTimedOut' && !wasUnreachable) this.suspectHall(row.listing.hall);
+    if (reached.val === 'connectTimedOut' && !wasUnreachable) this.checkHall(row.listing.hall);
     if (change !== undefined) this.options.onChange(row, change, reached.val);
   }
 
   /** A connection that times out often means that the link to a whole hall is cut: its other endpoints are checked. */
-  suspectHall(hall: string): void {
+  checkHall(hall: string): void {
     const nowMs = this.options.now();
     for (const row of this.options.table.byId.values()) {
       const isSuspect =
-        row.listing.hall === hall &&
-        row.standing.type === 'good' &&
-        !row.isBeingChecked &&
-        this.mayCheck(row);
-      if (isSuspect && nowMs - row.heardAtMs >= HEARD_LATELY_MS) void this.check(row);
+        row.listing.hall === hall && row.health.type === 'good' && !row.isBeingChecked && this.mayCheck(row);
+      if (isSuspect && nowMs - row.lastResponseAtMs >= HEARD_LATELY_MS) void this.check(row);
     }
   }
 }
 
 function isDue(row: EndpointRow, nowMs: number): boolean {
-  switch (row.standing.type) {
+  switch (row.health.type) {
     case 'unreachable':
-      return nowMs >= row.standing.nextCheckMs;
+      return nowMs >= row.health.nextCheckMs;
     case 'good':
     case 'ejected':
-      return row.inFlight > 0 && nowMs - Math.max(row.heardAtMs, row.busySinceMs) >= SUSPECT_MS;
+      return row.inFlight > 0 && nowMs - Math.max(row.lastResponseAtMs, row.busySinceMs) >= SUSPECT_MS;
   }
 }
--- a/packages/router/src/systems/freshBook.ts
+++ b/packages/router/src/systems/recentReports.ts
@@ -1,19 +1,19 @@
 /** Loads and demand that others tell twice a second. What was not renewed for several periods counts for nothing. */
-export const TOLD_LIFE_MS = 3_000;
+export const REPORT_TTL_MS = 3_000;
 
 /** What a teller said, and when. */
-export interface Told<T> {
+export interface Report<T> {
   readonly value: T;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
 /** The last that each of several tellers said; it counts for a limited time. */
-export class FreshBook<T> {
-  private readonly byTeller = new Map<string, Told<T>>();
+export class RecentReports<T> {
+  private readonly byTeller = new Map<string, Report<T>>();
 
   /** Takes over what a teller said. */
-  note(teller: string, value: T, nowMs: number): void {
-    this.byTeller.set(teller, { value, heardAtMs: nowMs });
+  record(teller: string, value: T, nowMs: number): void {
+    this.byTeller.set(teller, { value, receivedAtMs: nowMs });
   }
 
   /**
@@ -24,9 +24,9 @@
    * book.note('box-1', 'news', 0);
    * book.listFresh(TOLD_LIFE_MS + 1); // []
    */
-  listFresh(nowMs: number): Told<T>[] {
-    for (const [teller, { heardAtMs }] of this.byTeller) {
-      if (nowMs - heardAtMs > TOLD_LIFE_MS) this.byTeller.delete(teller);
+  listRecent(nowMs: number): Report<T>[] {
+    for (const [teller, { receivedAtMs: heardAtMs }] of this.byTeller) {
+      if (nowMs - heardAtMs > REPORT_TTL_MS) this.byTeller.delete(teller);
     }
     return [...this.byTeller.values()];
   }
--- a/packages/router/src/systems/restoredEntries.ts
+++ b/packages/router/src/systems/restoredEntries.ts
@@ -26,7 +26,7 @@
   }
 
   /** Records the removal of an endpoint, and forgets removals past the retention period. */
-  noteRemoved(id: string, nowMs: number): void {
+  recordRemoval(id: string, nowMs: number): void {
     this.removedAtMs.delete(id);
     this.removedAtMs.set(id, nowMs);
     for (const [oldId, atMs] of this.removedAtMs) {
@@ -36,7 +36,7 @@
   }
 
   /** Stops screening an endpoint whose entry was written again. */
-  noteWritten(id: string): void {
+  stopScreening(id: string): void {
     this.removedAtMs.delete(id);
     this.departures.delete(id);
   }
@@ -45,7 +45,7 @@
    * Starts or extends the screening period; endpoints screened since an earlier restore in progress are retained. Recorded removals
    * of endpoints that are back in the table are ignored.
    */
-  noteRestored(leavingIds: readonly string[], isInTable: (id: string) => boolean, nowMs: number): void {
+  handleRestore(leavingIds: readonly string[], isInTable: (id: string) => boolean, nowMs: number): void {
     if (!this.isScreening(nowMs)) this.departures.clear();
     for (const [id, atMs] of this.removedAtMs) {
       const isRecent = nowMs - atMs < REMOVAL_RETENTION_MS;
--- a/packages/router/src/systems/retryBudget.ts
+++ b/packages/router/src/systems/retryBudget.ts
@@ -40,7 +40,7 @@
   }
 
   /** Notes a request of a caller. */
-  noteRequest(service: string, nowMs: number): void {
+  recordRequest(service: string, nowMs: number): void {
     this.currentSlot(service, nowMs).requests += 1;
   }
 
--- a/packages/router/src/tables/endpointNotice.ts
+++ b/packages/router/src/tables/endpointNotice.ts
@@ -26,7 +26,10 @@
    * @param current the notice of the endpoint's row, which may have been evicted here
    * @example notices.find(listing).isLeaving // false until a response says so
    */
-  find({ id, bornMs }: Pick<ListedEndpoint, 'id' | 'bornMs'>, current?: EndpointNotice): EndpointNotice {
+  getOrCreate(
+    { id, bornMs }: Pick<ListedEndpoint, 'id' | 'bornMs'>,
+    current?: EndpointNotice,
+  ): EndpointNotice {
     const known = current ?? this.byId.get(id);
     const isSameProcess = known !== undefined && !isLaterStart(bornMs, known.bornMs);
     const notice = isSameProcess ? known : { isLeaving: false, backOffUntilMs: 0, bornMs };
--- a/packages/router/src/tables/endpointTable.ts
+++ b/packages/router/src/tables/endpointTable.ts
@@ -6,16 +6,16 @@
 import { EndpointNotices } from './endpointNotice.js';
 
 /** Why an endpoint gets no new requests from this box. */
-export type Standing =
+export type HealthState =
   | { readonly type: 'good' }
   /** Failed too often; tried again at `untilMs`. */
-  | { readonly type: 'ejected'; readonly untilMs: number; readonly times: number }
+  | { readonly type: 'ejected'; readonly untilMs: number; readonly priorEjections: number }
   /** Connections to it cannot be made; checked again at `nextCheckMs`. */
   | {
       readonly type: 'unreachable';
       readonly nextCheckMs: number;
       /** Its process was gone: what answers next is another one. */
-      readonly hasEnded: boolean;
+      readonly isProcessGone: boolean;
     };
 
 /** One endpoint. */
@@ -23,7 +23,7 @@
   listing: ListedEndpoint;
   /** Short number that stands for its id between boxes. */
   readonly tag: number;
-  standing: Standing;
+  health: HealthState;
   /** When this box first heard of it. */
   readonly listedAtMs: number;
   /** Requests of this box that it holds. */
@@ -31,7 +31,7 @@
   /** Requests of the other boxes that it holds, by their last heartbeats. */
   peersInFlight: number;
   /** When anything was last heard from it. */
-  heardAtMs: number;
+  lastResponseAtMs: number;
   /** When this box last sent it a request while it held none of this box. */
   busySinceMs: number;
   /** Moving average of failures, 0 to 1. */
@@ -85,12 +85,12 @@
     if (known !== undefined) {
       known.coldUntilMs = readColdUntil(known, listing, nowMs);
       known.listing = listing;
-      known.notice = this.notices.find(listing, known.notice);
+      known.notice = this.notices.getOrCreate(listing, known.notice);
       this.endLapse(known);
       this.byService.clear();
       return known;
     }
-    const row = createRow(listing, this.hashId(listing.id), this.notices.find(listing), nowMs);
+    const row = createRow(listing, this.hashId(listing.id), this.notices.getOrCreate(listing), nowMs);
     this.byId.set(listing.id, row);
     this.byTag.set(row.tag, row);
     this.byService.clear();
@@ -98,7 +98,7 @@
   }
 
   /** Keeps an endpoint that the platform no longer lists. */
-  lapse(row: EndpointRow): void {
+  markLapsed(row: EndpointRow): void {
     if (!row.isLapsed) this.lapsed += 1;
     row.isLapsed = true;
   }
@@ -143,11 +143,11 @@
   return {
     listing,
     tag,
-    standing: { type: 'good' },
+    health: { type: 'good' },
     listedAtMs: nowMs,
     inFlight: 0,
     peersInFlight: 0,
-    heardAtMs: nowMs,
+    lastResponseAtMs: nowMs,
     busySinceMs: nowMs,
     failureRate: 0,
     consecutiveFailures: 0,
