--- a/packages/router/src/systems/endpointHealth.ts
+++ b/packages/router/src/systems/endpointHealth.ts
@@ -1,46 +1,44 @@
-/**
- * Judges endpoints by their traffic, as this box sees it: a link may be broken for one hall only.
- */
+/** Tracks the health of endpoints by the requests of this box alone: a link may be down for one hall only. */
 import type { EndpointRow, EndpointTable } from '../tables/endpointTable.js';
 import { assumeCold } from '../tables/endpointTable.js';
 
-/** How a request at an endpoint ended, as far as it tells about the endpoint. */
+/** Outcome of a request as a signal of the endpoint's health. */
 export type HealthSignal =
-  /** A whole answer, whatever its status below 500. */
+  /** A response with a status below 500. */
   | 'answered'
-  /** An error of its own. */
+  /** An error of the endpoint itself. */
   | 'errored'
-  /** It refused for lack of room. */
+  /** The endpoint refused the request for lack of capacity. */
   | 'refused'
-  /** A connection that broke or an answer that was no answer. */
+  /** The connection broke, or the response was invalid. */
   | 'broke'
-  /** No sign within the time in which it should have answered. */
+  /** No response within the time in which the endpoint should have responded. */
   | 'silent'
   /** A connection was refused. */
   | 'connectRefused'
-  /** A connection did not come up in time. */
+  /** A connection timed out. */
   | 'connectTimedOut'
   /** A connection failed in another way. */
   | 'connectBroken';
 
-/** Weight of the newest sign in the moving average of failures. */
+/** Weight of the newest signal in the moving average of failures. */
 const FAILURE_WEIGHT = 0.15;
-/** Share of failures that ejects an endpoint. */
+/** Failure rate at which an endpoint is ejected. */
 const EJECT_RATE = 0.5;
-/** Failures in a row that eject an endpoint. */
+/** Consecutive failures after which an endpoint is ejected. */
 const EJECT_AFTER = 4;
-/** First ejection; doubles with each that follows. */
+/** Duration of the first ejection; doubles with each consecutive one. */
 const EJECT_MS = 1_500;
 const MAX_EJECT_DOUBLINGS = 3;
-/** Largest share of a service's endpoints that may be ejected for failures. */
+/** Failures eject an endpoint only if at most this share of its service's endpoints is unusable afterwards. */
 const MAX_EJECTED_SHARE = 0.34;
-/** Pace of connection checks of an unreachable endpoint. */
+/** Interval of connection checks of an unreachable endpoint. */
 export const UNREACHABLE_CHECK_INTERVAL_MS = 500;
 
-/** What changed in the belief about an endpoint; undefined if nothing did. */
+/** A change of an endpoint's health. */
 export type HealthChange = 'ejected' | 'unreachable' | 'restored';
 
-/** Whether an endpoint may get new requests from this box. */
+/** Whether the health of an endpoint permits new requests from this box. */
 export function isUsable(row: EndpointRow, nowMs: number): boolean {
   switch (row.health.type) {
     case 'good':
@@ -52,63 +50,63 @@
   }
 }
 
-/** Takes note of how a request went; returns what changed. */
+/** Records the outcome of a request; returns the resulting change of health, if any. */
 export function recordHealthSignal(
   table: EndpointTable,
   row: EndpointRow,
-  sign: HealthSignal,
+  signal: HealthSignal,
   nowMs: number,
 ): HealthChange | undefined {
-  switch (sign) {
+  switch (signal) {
     case 'answered':
-      return noteSuccess(row, nowMs);
+      return recordSuccess(row, nowMs);
     case 'refused':
       row.lastResponseAtMs = nowMs;
       return undefined;
     case 'errored':
     case 'broke':
     case 'silent':
-      return noteFailure(table, row, nowMs);
+      return recordFailure(table, row, nowMs);
     case 'connectRefused':
     case 'connectTimedOut':
     case 'connectBroken':
-      return markUnreachable(row, nowMs, sign === 'connectRefused');
+      return markUnreachable(row, nowMs, signal === 'connectRefused');
   }
 }
 
 /**
- * Takes an endpoint out until a connection to it comes up again.
+ * Takes an endpoint out of use until a connection to it succeeds.
  *
- * @param isRefused its machine said that nobody listens: the process is gone
+ * @param isRefused the host refused the connection: nothing listens there, so the process has exited
  */
 export function markUnreachable(
   row: EndpointRow,
   nowMs: number,
   isRefused: boolean,
 ): HealthChange | undefined {
-  const { health: standing } = row;
-  const isNew = standing.type !== 'unreachable';
-  const hasEnded = isRefused || (standing.type === 'unreachable' && standing.isProcessGone);
+  const { health } = row;
+  const isNew = health.type !== 'unreachable';
+  const isProcessGone = isRefused || (health.type === 'unreachable' && health.isProcessGone);
   row.health = {
     type: 'unreachable',
     nextCheckMs: nowMs + UNREACHABLE_CHECK_INTERVAL_MS,
-    isProcessGone: hasEnded,
+    isProcessGone,
   };
   return isNew ? 'unreachable' : undefined;
 }
 
-/** A connection came up: the endpoint is there again. */
+/** Records that a connection to an endpoint succeeded. */
 export function markReachable(row: EndpointRow, nowMs: number): HealthChange | undefined {
   row.lastResponseAtMs = nowMs;
   if (row.health.type !== 'unreachable') return undefined;
-  // What listens there now has started a moment ago, and its entry may not say so yet.
+  // The process that listens now has just started, and its entry may not say so yet.
   if (row.health.isProcessGone) assumeCold(row, nowMs);
   row.health = { type: 'good' };
   row.consecutiveFailures = 0;
   return 'restored';
 }
 
-function noteSuccess(row: EndpointRow, nowMs: number): HealthChange | undefined {
+function recordSuccess(row: EndpointRow, nowMs: number): HealthChange | undefined {
   row.lastResponseAtMs = nowMs;
   row.consecutiveFailures = 0;
   row.failureRate *= 1 - FAILURE_WEIGHT;
@@ -117,22 +115,22 @@
   return 'restored';
 }
 
-function noteFailure(table: EndpointTable, row: EndpointRow, nowMs: number): HealthChange | undefined {
+function recordFailure(table: EndpointTable, row: EndpointRow, nowMs: number): HealthChange | undefined {
   row.consecutiveFailures += 1;
   row.failureRate += FAILURE_WEIGHT * (1 - row.failureRate);
   const isFailing = row.consecutiveFailures >= EJECT_AFTER || row.failureRate >= EJECT_RATE;
-  const isOnTrial = row.health.type === 'ejected' && nowMs >= row.health.untilMs;
-  if (row.health.type === 'ejected' && !isOnTrial) return undefined;
-  if ((!isFailing && !isOnTrial) || !mayEject(table, row, nowMs)) return undefined;
-  const times = row.health.type === 'ejected' ? row.health.priorEjections + 1 : 0;
-  const untilMs = nowMs + EJECT_MS * 2 ** Math.min(times, MAX_EJECT_DOUBLINGS);
-  row.health = { type: 'ejected', untilMs, priorEjections: times };
+  const isBackOnTrial = row.health.type === 'ejected' && nowMs >= row.health.untilMs;
+  if (row.health.type === 'ejected' && !isBackOnTrial) return undefined;
+  if ((!isFailing && !isBackOnTrial) || !mayEject(table, row, nowMs)) return undefined;
+  const priorEjections = row.health.type === 'ejected' ? row.health.priorEjections + 1 : 0;
+  const untilMs = nowMs + EJECT_MS * 2 ** Math.min(priorEjections, MAX_EJECT_DOUBLINGS);
+  row.health = { type: 'ejected', untilMs, priorEjections };
   row.consecutiveFailures = 0;
   return 'ejected';
 }
 
 function mayEject(table: EndpointTable, row: EndpointRow, nowMs: number): boolean {
   const rows = table.listService(row.listing.service);
-  const out = rows.filter((other) => other !== row && !isUsable(other, nowMs)).length;
-  return out + 1 <= Math.floor(rows.length * MAX_EJECTED_SHARE);
+  const unusable = rows.filter((other) => other !== row && !isUsable(other, nowMs)).length;
+  return unusable + 1 <= Math.floor(rows.length * MAX_EJECTED_SHARE);
 }
--- a/packages/router/src/systems/endpointNotices.ts
+++ b/packages/router/src/systems/endpointNotices.ts
@@ -12,7 +12,7 @@
 /**
  * Records the announcements in the headers of a response. Returns those that changed the recorded state.
  *
- * @example noteAnswerFacts(row, { ...facts, isLeaving: true }, performance.now()) // ['leaving']
+ * @example recordAnnouncements(row, { ...metadata, isLeaving: true }, performance.now()) // ['leaving']
  */
 export function recordAnnouncements(
   { notice }: EndpointRow,
--- a/packages/router/src/systems/endpointObserver.ts
+++ b/packages/router/src/systems/endpointObserver.ts
@@ -21,22 +21,22 @@
   /**
    * Records the outcome of a request to an endpoint.
    *
-   * @example observer.noteSign(row, 'connectTimedOut') // also checks the other endpoints of its hall
+   * @example observer.record(row, 'connectTimedOut') // also checks the other endpoints of its hall
    */
-  record(row: EndpointRow, sign: HealthSignal): void {
-    const { table, healthLog: standingLog, now, checkHall: suspectHall } = this.options;
-    const change = recordHealthSignal(table, row, sign, now());
-    if (change === 'unreachable' && sign === 'connectTimedOut') suspectHall(row.listing.hall);
-    if (change !== undefined) standingLog.logEndpointHealth(row, change, sign);
+  record(row: EndpointRow, signal: HealthSignal): void {
+    const { table, healthLog, now, checkHall } = this.options;
+    const change = recordHealthSignal(table, row, signal, now());
+    if (change === 'unreachable' && signal === 'connectTimedOut') checkHall(row.listing.hall);
+    if (change !== undefined) healthLog.logEndpointHealth(row, change, signal);
   }
 
   /**
    * Records the announcements in the headers of a response.
    *
-   * @example observer.noteAnswerFacts(row, dialect.readAnswer(503, { 'retry-after': '3' }))
+   * @example observer.recordAnnouncements(row, dialect.readResponse(503, { 'retry-after': '3' }))
    */
-  recordAnnouncements(row: EndpointRow, facts: ResponseMetadata): void {
-    const { now, healthLog: standingLog } = this.options;
-    for (const change of recordAnnouncements(row, facts, now())) standingLog.logEndpointNotice(row, change);
+  recordAnnouncements(row: EndpointRow, metadata: ResponseMetadata): void {
+    const { now, healthLog } = this.options;
+    for (const change of recordAnnouncements(row, metadata, now())) healthLog.logEndpointNotice(row, change);
   }
 }
--- a/packages/router/src/systems/reachability.ts
+++ b/packages/router/src/systems/reachability.ts
@@ -1,35 +1,37 @@
 /**
- * Finds endpoints that cannot be reached. One that holds requests and says nothing at all is asked for a connection;
- * one that could not be reached is asked again at a steady pace.
+ * Detects unreachable endpoints. An endpoint that has requests in flight and sends nothing at all gets a connection
+ * check; an unreachable one is checked again at a fixed interval.
  */
 import type { EndpointConnections } from '../proxy/endpointConnections.js';
 import type { EndpointRow, EndpointTable } from '../tables/endpointTable.js';
 import type { HealthChange } from './endpointHealth.js';
 import { markUnreachable, markReachable } from './endpointHealth.js';
 
-/** An endpoint with requests of this box that says nothing for this long is checked. */
-const SUSPECT_MS = 300;
-/** An endpoint heard within this time needs no check when another one of its hall cannot be reached. */
-const HEARD_LATELY_MS = 250;
+/** An endpoint with requests of this box in flight is checked after it has sent nothing for this long. */
+const SILENCE_LIMIT_MS = 300;
+/** An endpoint that responded within this time needs no check when another one of its hall is unreachable. */
+const RECENT_RESPONSE_MS = 250;
 
-/** Called when the belief about an endpoint changes. */
+/** Called when the health of an endpoint changes. */
 export type OnHealthChange = (row: EndpointRow, change: HealthChange, because: string) => void;
 
-/** What the checks work with. */
+/** Dependencies and callbacks of the checks. */
 export interface ReachabilityOptions {
   readonly table: EndpointTable;
   readonly connections: Pick<EndpointConnections, 'check'>;
   readonly now: () => number;
-  /** Whether a hall is to be emptied: nothing is asked of an endpoint there that holds no requests. */
+  /**
+   * Whether a hall is under an evacuation order: its endpoints are not checked unless they have requests in flight.
+   */
   readonly isEvacuated: (hall: string) => boolean;
   readonly onChange: OnHealthChange;
 }
 
-/** Checks connections once a tick. */
+/** Runs the connection checks of one box. */
 export class Reachability {
   constructor(private readonly options: ReachabilityOptions) {}
 
-  /** Starts the checks that are due. */
+  /** Runs once a tick: starts the checks that are due. */
   tick(): void {
     const nowMs = this.options.now();
     for (const row of this.options.table.byId.values()) {
@@ -44,27 +46,30 @@
   private async check(row: EndpointRow): Promise<void> {
     row.isBeingChecked = true;
     const wasUnreachable = row.health.type === 'unreachable';
-    const reached = await this.options.connections.check(row);
+    const result = await this.options.connections.check(row);
     row.isBeingChecked = false;
     const nowMs = this.options.now();
-    if (reached.ok) {
-      // A connection proves only that the host is there: the requests it holds may still be mute.
+    if (result.ok) {
+      // A connection only proves that the host is reachable: requests in flight may still get no response.
       const change = markReachable(row, nowMs);
       if (change !== undefined) this.options.onChange(row, change, 'connection check');
       return;
     }
-    const change = markUnreachable(row, nowMs, reached.val === 'connectRefused');
-    if (reached.val === 'connectTimedOut' && !wasUnreachable) this.checkHall(row.listing.hall);
-    if (change !== undefined) this.options.onChange(row, change, reached.val);
+    const change = markUnreachable(row, nowMs, result.val === 'connectRefused');
+    if (result.val === 'connectTimedOut' && !wasUnreachable) this.checkHall(row.listing.hall);
+    if (change !== undefined) this.options.onChange(row, change, result.val);
   }
 
-  /** A connection that times out often means that the link to a whole hall is cut: its other endpoints are checked. */
+  /**
+   * Checks the endpoints of a hall after a connection timed out, which often means that the link to the whole hall is
+   * down.
+   */
   checkHall(hall: string): void {
     const nowMs = this.options.now();
     for (const row of this.options.table.byId.values()) {
-      const isSuspect =
+      const mayBeAffected =
         row.listing.hall === hall && row.health.type === 'good' && !row.isBeingChecked && this.mayCheck(row);
-      if (isSuspect && nowMs - row.lastResponseAtMs >= HEARD_LATELY_MS) void this.check(row);
+      if (mayBeAffected && nowMs - row.lastResponseAtMs >= RECENT_RESPONSE_MS) void this.check(row);
     }
   }
 }
@@ -75,6 +80,6 @@
       return nowMs >= row.health.nextCheckMs;
     case 'good':
     case 'ejected':
-      return row.inFlight > 0 && nowMs - Math.max(row.lastResponseAtMs, row.busySinceMs) >= SUSPECT_MS;
+      return row.inFlight > 0 && nowMs - Math.max(row.lastResponseAtMs, row.busySinceMs) >= SILENCE_LIMIT_MS;
   }
 }
--- a/packages/router/src/tables/endpointNotice.ts
+++ b/packages/router/src/tables/endpointNotice.ts
@@ -21,10 +21,11 @@
   private readonly byId = new Map<string, EndpointNotice>();
 
   /**
-   * Returns the notice of a listed endpoint. A later process start under the same id resets it.
+   * Returns the notice of a listed endpoint and creates it if there is none. A later process start under the same id
+   * resets it.
    *
    * @param current the notice of the endpoint's row, which may have been evicted here
-   * @example notices.find(listing).isLeaving // false until a response says so
+   * @example notices.getOrCreate(listing).isLeaving // false until a response says so
    */
   getOrCreate(
     { id, bornMs }: Pick<ListedEndpoint, 'id' | 'bornMs'>,
--- a/packages/router/src/tables/endpointTable.ts
+++ b/packages/router/src/tables/endpointTable.ts
@@ -1,70 +1,68 @@
-/**
- * The table of endpoints: what is published of each, what this box saw of it, and what peers say of its load.
- */
+/** The table of endpoints: the published listing of each, its health as observed by this box, and its load. */
 import type { ListedEndpoint } from '../records.js';
 import type { EndpointNotice } from './endpointNotice.js';
 import { EndpointNotices } from './endpointNotice.js';
 
-/** Why an endpoint gets no new requests from this box. */
+/** Health of an endpoint as observed by this box; ejected and unreachable endpoints get no new requests. */
 export type HealthState =
   | { readonly type: 'good' }
-  /** Failed too often; tried again at `untilMs`. */
+  /** Failed too often; gets requests again from `untilMs` on. */
   | { readonly type: 'ejected'; readonly untilMs: number; readonly priorEjections: number }
-  /** Connections to it cannot be made; checked again at `nextCheckMs`. */
+  /** Connections to it fail; checked again at `nextCheckMs`. */
   | {
       readonly type: 'unreachable';
       readonly nextCheckMs: number;
-      /** Its process was gone: what answers next is another one. */
+      /** A connection was refused, so the process has exited: whatever responds next is a new process. */
       readonly isProcessGone: boolean;
     };
 
-/** One endpoint. */
+/** State of one endpoint: its listing, and what this box has observed. */
 export interface EndpointRow {
   listing: ListedEndpoint;
-  /** Short number that stands for its id between boxes. */
+  /** Hash of its id, by which boxes refer to it in their messages. */
   readonly tag: number;
   health: HealthState;
-  /** When this box first heard of it. */
+  /** When this box added it to the table. */
   readonly listedAtMs: number;
-  /** Requests of this box that it holds. */
+  /** Requests of this box in flight at it. */
   inFlight: number;
-  /** Requests of the other boxes that it holds, by their last heartbeats. */
+  /** Requests of the other boxes in flight at it, by their last reports. */
   peersInFlight: number;
-  /** When anything was last heard from it. */
+  /** When it last responded to this box: with data, a status or an accepted connection. */
   lastResponseAtMs: number;
-  /** When this box last sent it a request while it held none of this box. */
+  /** When this box last sent it a request while it had no others in flight there. */
   busySinceMs: number;
   /** Moving average of failures, 0 to 1. */
   failureRate: number;
   consecutiveFailures: number;
-  /** A connection check is under way. */
+  /** A connection check is in progress. */
   isBeingChecked: boolean;
-  /** The platform no longer lists it, but may only have lost touch. Set by `EndpointTable.lapse`. */
+  /** The platform no longer lists it, but its entry may only have expired during an outage. Set by `markLapsed`. */
   isLapsed: boolean;
-  /** Until then it bears little, as far as this box was told or has to suppose. */
+  /** Until then it sustains few requests, according to its listing or as assumed by this box. */
   coldUntilMs: number;
   /** Announcements that the endpoint made in its responses. */
   notice: EndpointNotice;
 }
 
-/** Load of an endpoint as this box knows it: requests of all boxes. */
+/** Requests of all boxes in flight at an endpoint, with those of the other boxes as last reported. */
 export function readFleetLoad(row: EndpointRow): number {
   return row.inFlight + row.peersInFlight;
 }
 
-/** By then an endpoint that is cold has said so, and its entry has passed from box to box. */
-const COLD_DOUBT_MS = 3_000;
+/** Within this time a cold endpoint has published that it is cold, and its entry has been relayed between boxes. */
+const ASSUMED_COLD_MS = 3_000;
 
 /**
- * Takes an endpoint for cold until its entry must have told.
+ * Treats an endpoint as cold until its entry must have arrived.
  *
- * @example assumeCold(row, performance.now()) // its process was gone a moment ago
+ * @example assumeCold(row, performance.now()) // it accepts connections again after its process had exited
  */
 export function assumeCold(row: EndpointRow, nowMs: number): void {
-  row.coldUntilMs = Math.max(row.coldUntilMs, nowMs + COLD_DOUBT_MS);
+  row.coldUntilMs = Math.max(row.coldUntilMs, nowMs + ASSUMED_COLD_MS);
 }
 
-/** All endpoints by id, by service and by tag. */
+/** All endpoints, indexed by id, service and tag. */
 export class EndpointTable {
   readonly byId = new Map<string, EndpointRow>();
   private readonly byService = new Map<string, EndpointRow[]>();
@@ -74,19 +72,19 @@
 
   constructor(private readonly hashId: (id: string) => number) {}
 
-  /** Endpoints that are kept although the platform no longer lists them. */
+  /** Number of endpoints that are kept although the platform no longer lists them. */
   get lapsedCount(): number {
     return this.lapsed;
   }
 
-  /** Adds an endpoint or takes over what is newly published of it. */
+  /** Adds an endpoint, or updates the listing of a known one. */
   upsert(listing: ListedEndpoint, nowMs: number): EndpointRow {
     const known = this.byId.get(listing.id);
     if (known !== undefined) {
       known.coldUntilMs = readColdUntil(known, listing, nowMs);
       known.listing = listing;
       known.notice = this.notices.getOrCreate(listing, known.notice);
-      this.endLapse(known);
+      this.clearLapsed(known);
       this.byService.clear();
       return known;
     }
@@ -97,17 +95,17 @@
     return row;
   }
 
-  /** Keeps an endpoint that the platform no longer lists. */
+  /** Marks an endpoint that the platform no longer lists but that is kept. */
   markLapsed(row: EndpointRow): void {
     if (!row.isLapsed) this.lapsed += 1;
     row.isLapsed = true;
   }
 
-  /** Forgets an endpoint. */
+  /** Removes an endpoint. */
   remove(id: string): void {
     const row = this.byId.get(id);
     if (row === undefined) return;
-    this.endLapse(row);
+    this.clearLapsed(row);
     this.byId.delete(id);
     this.byTag.delete(row.tag);
     this.byService.clear();
@@ -127,13 +125,13 @@
     return rows;
   }
 
-  private endLapse(row: EndpointRow): void {
+  private clearLapsed(row: EndpointRow): void {
     if (row.isLapsed) this.lapsed -= 1;
     row.isLapsed = false;
   }
 }
 
-/** What is told again unchanged may be old: only what was written anew counts from now. */
+/** A repeated value may be an old one: the cold time counts from now only if the listing changes it. */
 function readColdUntil({ listing, coldUntilMs }: EndpointRow, next: ListedEndpoint, nowMs: number): number {
   const { coldMs = 0 } = next;
   return coldMs === (listing.coldMs ?? 0) ? coldUntilMs : nowMs + coldMs;
