--- a/packages/router/src/systems/configurationChange.ts
+++ b/packages/router/src/systems/configurationChange.ts
@@ -1,39 +1,40 @@
 /**
- * The difference between two configurations. Operators publish whole files, but most changes touch a few records: boxes
- * pass on what changed, name both versions, and check by a digest that they arrived at the same records.
+ * Changes between two configurations. Operators publish whole files, but most updates touch only a few records. So
+ * boxes relay just the changed records, together with both versions and a digest by which the receiver checks that it
+ * ends up with the same records.
  */
 import { isDeepStrictEqual } from 'node:util';
 import { Err, Ok } from '@hazelwalk/core';
 import type { Result } from '@hazelwalk/core';
 import type { CallerLimits, FleetConfiguration, Route, Service, Team } from '../records.js';
 
-/** Records of one kind that differ, by name. */
+/** Changed records of one kind, identified by name. */
 export interface RecordChanges<T> {
   /** New records, and those that replace one of the same name. */
   readonly written: readonly T[];
   readonly removed: readonly string[];
 }
 
-/** What leads from one version of the configuration to another. */
+/** Change from one version of the configuration to another. */
 export interface ConfigurationChange {
   /** Version that it applies to. */
   readonly from: number;
-  /** Version that it leads to. */
+  /** Version that results from it. */
   readonly version: number;
-  /** Digest of the configuration that it leads to. */
+  /** Digest of the resulting configuration. */
   readonly digest: number;
   readonly routes: RecordChanges<Route>;
   readonly services: RecordChanges<Service>;
-  /** Undefined where the newer configuration has no teams. */
+  /** Undefined if the newer configuration has no teams. */
   readonly teams: RecordChanges<Team> | undefined;
   readonly limits: CallerLimits;
 }
 
-/** Why a change cannot be used. */
+/** Why a change cannot be applied. */
 export type ChangeFailure =
-  /** It begins at a version that the box never had, or no longer keeps. */
+  /** It applies to a version that the box never had, or no longer keeps. */
   | 'otherVersion'
-  /** It leads to other records than its sender has. */
+  /** It results in other records than its sender has. */
   | 'otherDigest';
 
 interface NamedRecord {
@@ -41,8 +42,9 @@
 }
 
 /**
- * Digest and size of records. Records never change, so each is read once. All boxes set the fields of a record in one order,
- * that of its type, whether they decode what the platform published or what a peer told: the same record is the same text.
+ * Digest and size of records. Records are immutable, so each one is serialized once. All boxes set the fields of a
+ * record in the order of its type, whether they decode it from the platform or from a peer, so that equal records
+ * have equal text.
  */
 export class ConfigurationDigest {
   private readonly byRecord = new WeakMap<object, { readonly hash: number; readonly chars: number }>();
@@ -50,38 +52,40 @@
   constructor(private readonly hash: (text: string) => number) {}
 
   /**
-   * Digest of a configuration's records; their order does not count.
+   * Digest of a configuration; the order of its records does not matter.
    *
-   * @example digest.read(configuration) === digest.read(readAgain) // true
+   * @example digest.compute(configuration) === digest.compute(readAgain) // true
    */
   compute(configuration: FleetConfiguration): number {
     const own = this.hash(JSON.stringify([configuration.version, configuration.limits]));
     // Addition of 32-bit numbers does not depend on the order.
-    return this.list(configuration).reduce((sum, { hash }) => (sum + hash) >>> 0, own);
+    return this.listDigests(configuration).reduce((sum, { hash }) => (sum + hash) >>> 0, own);
   }
 
-  /** Characters of a configuration's records, as a measure of what it takes to send them. */
+  /** Characters in a configuration's records, as an estimate of its size when sent. */
   countChars(configuration: FleetConfiguration): number {
-    return this.list(configuration).reduce((sum, { chars }) => sum + chars, 0);
+    return this.listDigests(configuration).reduce((sum, { chars }) => sum + chars, 0);
   }
 
-  private list(configuration: FleetConfiguration): { readonly hash: number; readonly chars: number }[] {
+  private listDigests(
+    configuration: FleetConfiguration,
+  ): { readonly hash: number; readonly chars: number }[] {
     const { routes, services, teams } = configuration;
-    return [...routes, ...services, ...(teams ?? [])].map((record) => this.inspect(record));
+    return [...routes, ...services, ...(teams ?? [])].map((record) => this.digestRecord(record));
   }
 
-  private inspect(record: object): { readonly hash: number; readonly chars: number } {
+  private digestRecord(record: object): { readonly hash: number; readonly chars: number } {
     const known = this.byRecord.get(record);
     if (known !== undefined) return known;
     const text = JSON.stringify(record);
-    const read = { hash: this.hash(text), chars: text.length };
-    this.byRecord.set(record, read);
-    return read;
+    const digest = { hash: this.hash(text), chars: text.length };
+    this.byRecord.set(record, digest);
+    return digest;
   }
 }
 
 /**
- * Finds what leads from one configuration to a newer one.
+ * Computes the change from one configuration to a newer one.
  *
  * @example diffConfigurations(digest, before, after).routes.removed // ['route-7']
  */
@@ -101,7 +105,7 @@
   };
 }
 
-/** Applies a change; nothing is changed if it does not fit. */
+/** Returns the configuration that results from a change, or why the change does not apply. */
 export function applyConfigurationChange(
   digest: ConfigurationDigest,
   before: FleetConfiguration,
@@ -118,7 +122,7 @@
   return digest.compute(after) === change.digest ? Ok(after) : Err('otherDigest');
 }
 
-/** Most records are the very same object; only then is comparing a thousand of them cheap. */
+/** Unchanged records are usually the same object, which makes comparing a thousand of them cheap. */
 function isSameRecord(a: NamedRecord, b: NamedRecord): boolean {
   return a === b || isDeepStrictEqual(a, b);
 }
@@ -143,8 +147,8 @@
 }
 
 /**
- * The same configuration, with the records that an earlier one has as well taken from there: they are kept once, and
- * finding what changed costs one look a record.
+ * Replaces the records of a configuration that equal those of an earlier one by the earlier objects. Each record is
+ * then stored once, and comparing the two configurations takes one look-up per record.
  */
 export function shareRecords(before: FleetConfiguration, after: FleetConfiguration): FleetConfiguration {
   return {
--- a/packages/router/src/systems/endpointDirectory.ts
+++ b/packages/router/src/systems/endpointDirectory.ts
@@ -1,8 +1,9 @@
 /**
- * Keeps the table of endpoints in step with what the platform publishes.
+ * Keeps the table of endpoints in sync with the list that the platform publishes.
  *
- * An endpoint whose entry vanishes while the platform is in trouble may live on: its entry only lapsed. It stays in use
- * until the platform has been back for a while; entries of live endpoints are back by then.
+ * If an entry disappears during an outage of the platform, its endpoint may still be alive: the entry has only
+ * lapsed. Such an endpoint stays in use until the platform has been back for a while: by then the entries of live
+ * endpoints are listed again.
  */
 import type { ListedEndpoint } from '../records.js';
 import type { EndpointTable } from '../tables/endpointTable.js';
@@ -13,22 +14,22 @@
 export type EndpointChange =
   | { readonly type: 'listed'; readonly endpoint: ListedEndpoint }
   | { readonly type: 'removed'; readonly id: string }
-  /** The whole list: what is not in it is gone. */
+  /** The whole list: endpoints missing from it were removed. */
   | {
       readonly type: 'snapshot';
       readonly endpoints: readonly ListedEndpoint[];
-      /** Endpoints whose entries are gone and that the peer which told the list keeps, since they may have lapsed. */
+      /** Endpoints missing from the list that its sender keeps because they may have lapsed. */
       readonly lapsed?: readonly ListedEndpoint[];
     };
 
-/** What is told about changes. */
+/** Called when an endpoint is removed or its entry lapses. */
 export interface EndpointDirectoryHandlers {
   readonly onRemoved: (id: string, reason: 'removed' | 'lapsed') => void;
   /**
-   * An entry vanished, and its endpoint is kept since it may only have lapsed: for `unsettledMs` more, or infinitely while
-   * nobody reads the platform.
+   * The entry of an endpoint disappeared, and the endpoint is kept because the entry may only have lapsed. The grace
+   * period is infinite while neither this box nor a peer reads the platform.
    */
-  readonly onLapsed: (id: string, unsettledMs: number) => void;
+  readonly onLapsed: (id: string, gracePeriodMs: number) => void;
 }
 
 /** Applies published changes to the table. */
@@ -37,7 +38,7 @@
 
   constructor(
     private readonly table: EndpointTable,
-    private readonly contact: PlatformConnectivity,
+    private readonly connectivity: PlatformConnectivity,
     private readonly handlers: EndpointDirectoryHandlers,
   ) {}
 
@@ -56,7 +57,7 @@
     }
   }
 
-  /** Records that the platform was restored from a backup. */
+  /** Starts screening lists after the platform was restored from a backup. */
   handleRestore(nowMs: number): void {
     const rows = [...this.table.byId.values()].filter(({ listing }) => listing.state === 'leaving');
     this.restored.handleRestore(
@@ -77,9 +78,9 @@
     return { ...change, endpoints: this.restored.screen(change.endpoints, nowMs) };
   }
 
-  /** Runs once a tick: ends lapses that were not made good. */
+  /** Runs once a tick: removes lapsed endpoints after the grace period. */
   tick(nowMs: number): void {
-    if (this.table.lapsedCount === 0 || this.contact.readGracePeriodMs(nowMs) > 0) return;
+    if (this.table.lapsedCount === 0 || this.connectivity.readGracePeriodMs(nowMs) > 0) return;
     for (const row of [...this.table.byId.values()]) {
       if (row.isLapsed) this.remove(row.listing.id, 'lapsed', nowMs);
     }
@@ -96,9 +97,12 @@
     for (const id of [...this.table.byId.keys()]) if (!listed.has(id)) this.removeOrLapse(id, nowMs);
   }
 
-  /** A box that starts while the platform is away knows no other endpoints than those that peers keep. */
+  /**
+   * Adds endpoints that a peer keeps as lapsed: a box that starts during an outage of the platform has no other
+   * source.
+   */
   private addLapsed(lapsed: readonly ListedEndpoint[], nowMs: number): void {
-    if (this.contact.readGracePeriodMs(nowMs) === 0) return;
+    if (this.connectivity.readGracePeriodMs(nowMs) === 0) return;
     for (const endpoint of lapsed) {
       if (!this.table.byId.has(endpoint.id)) this.table.upsert(endpoint, nowMs);
     }
@@ -107,14 +111,14 @@
   private removeOrLapse(id: string, nowMs: number): void {
     const row = this.table.byId.get(id);
     if (row === undefined) return;
-    const unsettledMs = this.contact.readGracePeriodMs(nowMs);
-    if (unsettledMs === 0) {
+    const gracePeriodMs = this.connectivity.readGracePeriodMs(nowMs);
+    if (gracePeriodMs === 0) {
       this.remove(id, 'removed', nowMs);
       return;
     }
     if (row.isLapsed) return;
     this.table.markLapsed(row);
-    this.handlers.onLapsed(id, unsettledMs);
+    this.handlers.onLapsed(id, gracePeriodMs);
   }
 
   private remove(id: string, reason: 'removed' | 'lapsed', nowMs: number): void {
--- a/packages/router/src/systems/evacuations.ts
+++ b/packages/router/src/systems/evacuations.ts
@@ -1,17 +1,17 @@
 /**
- * Halls that operators have ordered to be emptied: their endpoints get nothing new, of whatever kind, until the order is
- * taken back. What runs there goes on to its end. Orders travel with the list of endpoints and are as new as it is, so that
- * a box which does not read the platform, or starts while it is away, has them from its peers.
+ * Evacuation orders of operators. Endpoints of an evacuated hall get no new requests of any kind until the order is
+ * revoked; requests in flight run to their end. Orders belong to the list of endpoints and have its revision, so that
+ * a box that does not read the platform, or starts during an outage of it, gets them from its peers.
  */
 
-/** A change of the orders. */
+/** A change of the evacuation orders. */
 export type EvacuationChange =
   | { readonly type: 'ordered'; readonly hall: string }
   | { readonly type: 'takenBack'; readonly hall: string }
-  /** All orders in force: what is not among them was taken back. */
+  /** All orders in force: any other order was revoked. */
   | { readonly type: 'snapshot'; readonly halls: readonly string[] };
 
-/** What a change did to the orders in force. */
+/** Halls whose evacuation began or ended with a change. */
 export interface EvacuationEffect {
   readonly began: readonly string[];
   readonly ended: readonly string[];
@@ -20,31 +20,34 @@
 const NO_EFFECT: EvacuationEffect = { began: [], ended: [] };
 
 /**
- * For so long after an order engines of the hall may be named as holders of a prompt, so that those which take over its
- * callers fetch what they need and do not read it all anew. An order whose age is not known is an old one.
+ * For this long after an order, engines of the hall may be named as holders of a prompt, so that the engines that
+ * take over its callers fetch the prompt and need not compute it again. An order of unknown age counts as old.
  */
-const HAND_OVER_MS = 3_000;
+const CACHE_SOURCE_MS = 3_000;
 
-/** The orders in force at one box. */
+/** Evacuation orders in force at one box. */
 export class Evacuations {
-  /** When each order came, on the clock of this box; `-Infinity` where it may have been there before. */
+  /** When each order arrived, by the clock of this box; `-Infinity` if it may have been in force before. */
   private readonly orderedAtMs = new Map<string, number>();
 
   /**
-   * Whether a hall is to be left alone.
+   * Whether a hall is under an evacuation order.
    *
-   * @example evacuations.covers('mixco') // true between an order and its end
+   * @example evacuations.isEvacuated('mixco') // true from the order until it is revoked
    */
   isEvacuated(hall: string): boolean {
     return this.orderedAtMs.has(hall);
   }
 
-  /** Whether engines of a hall may hand over what they hold: always, but for those that have been under an order for long. */
+  /**
+   * Whether engines of a hall may serve cached prompts to others: not if the hall has been under an order for a
+   * while.
+   */
   mayServeCache(hall: string, nowMs: number): boolean {
-    return nowMs - (this.orderedAtMs.get(hall) ?? nowMs) <= HAND_OVER_MS;
+    return nowMs - (this.orderedAtMs.get(hall) ?? nowMs) <= CACHE_SOURCE_MS;
   }
 
-  /** Whether no hall is under an order, as nearly always. */
+  /** Whether no hall is under an order, which is nearly always the case. */
   get isEmpty(): boolean {
     return this.orderedAtMs.size === 0;
   }
@@ -54,7 +57,7 @@
     return [...this.orderedAtMs.keys()];
   }
 
-  /** Takes over a change; tells what it did, which is nothing if it is known. */
+  /** Applies a change; returns its effect, which is empty if the change was known. */
   apply(change: EvacuationChange, nowMs: number): EvacuationEffect {
     switch (change.type) {
       case 'ordered':
--- a/packages/router/src/systems/publishedState.ts
+++ b/packages/router/src/systems/publishedState.ts
@@ -1,6 +1,7 @@
 /**
- * What the platform publishes, as this box has it: the configuration in force and the list of endpoints. Both come from
- * the platform itself or from peers; the configuration only grows within one life of the process.
+ * Values that the platform publishes, as known to this box: the configuration in force and the list of endpoints.
+ * Both come from the platform itself or from peers. The version of the configuration never decreases while the
+ * process runs.
  */
 import { Err, Ok } from '@hazelwalk/core';
 import type { Problem, Result } from '@hazelwalk/core';
@@ -28,17 +29,19 @@
 import type { ListChanges } from './snapshotDifference.js';
 import { diffSnapshot } from './snapshotDifference.js';
 
-/** Earlier configurations from which a peer may be told the change; records are shared, so each costs little. */
+/**
+ * Earlier configurations to which a change for a peer may apply; records are shared, so each one takes little memory.
+ */
 const KEPT_CONFIGURATIONS = 32;
 
-/** Where a published value came from. */
+/** Source of a published value. */
 export type ValueSource = 'platform' | 'peer';
 
-/** One answer of the platform to the question what is new. */
+/** Response of the platform to a call for changes. */
 export interface Publication extends ListChanges {
   /** The changes are all those after this revision; undefined if they hold the whole list of endpoints. */
   readonly from: number | undefined;
-  /** Revision of the platform that the answer shows. */
+  /** Revision of the platform as of the response. */
   readonly revision: number;
   /** Increases when the platform is restored from a backup, which resets its revision; undefined if not reported. */
   readonly era?: number | undefined;
@@ -46,7 +49,7 @@
   readonly configurationText: string | undefined;
 }
 
-/** What the state works with. */
+/** Dependencies and callbacks of the state. */
 export interface PublishedStateOptions {
   readonly table: EndpointTable;
   readonly log: DecisionLog;
@@ -56,7 +59,7 @@
   readonly parseConfiguration: (text: string) => Result<FleetConfiguration, Problem>;
   readonly onLimits: (limits: CallerLimits) => void;
   readonly onEndpointRemoved: (id: string) => void;
-  /** The box knows what to serve and where, for the first time. */
+  /** The box has a configuration and endpoints for the first time. */
   readonly onInitialized: () => void;
 }
 
@@ -67,19 +70,19 @@
   private readonly configurations: FleetConfiguration[] = [];
   private readonly digest: ConfigurationDigest;
   private position = NO_LIST;
-  /** Latest era seen in an answer of the platform or a list from a peer. */
+  /** Latest era seen in a response of the platform or a list from a peer. */
   private era = NO_LIST.era;
-  private readonly contact = new PlatformConnectivity();
-  private contactKind: ConnectivitySource = 'none';
+  private readonly connectivity = new PlatformConnectivity();
+  private connectivitySource: ConnectivitySource = 'none';
   private readonly directory: EndpointDirectory;
-  /** Halls that get nothing new. */
+  /** Evacuation orders: the halls concerned get no new requests. */
   readonly evacuations = new Evacuations();
 
   constructor(private readonly options: PublishedStateOptions) {
     this.digest = new ConfigurationDigest(options.hash);
-    this.directory = new EndpointDirectory(options.table, this.contact, {
+    this.directory = new EndpointDirectory(options.table, this.connectivity, {
       onRemoved: (id, reason) => this.handleRemoved(id, reason),
-      onLapsed: (id, unsettledMs) => this.handleLapsed(id, unsettledMs),
+      onLapsed: (id, gracePeriodMs) => this.handleLapsed(id, gracePeriodMs),
     });
   }
 
@@ -88,7 +91,7 @@
     return this.currentIndex;
   }
 
-  /** About what the configuration in force takes to send, in characters; 0 before the first. */
+  /** Approximate size of the configuration in force when sent, in characters; 0 before the first. */
   get configurationChars(): number {
     const { currentIndex } = this;
     return currentIndex === undefined ? 0 : this.digest.countChars(currentIndex.configuration);
@@ -99,7 +102,7 @@
     return this.currentIndex?.configuration.version ?? 0;
   }
 
-  /** How new the list of endpoints is: the platform's revision. */
+  /** Revision of the list of endpoints. */
   get endpointsRevision(): number {
     return this.position.revision;
   }
@@ -109,49 +112,50 @@
     return this.position;
   }
 
-  /** Whether the platform answered last time, this box or a peer that reads it. */
+  /** Whether the platform responded last time, to this box or to a peer that reads it. */
   get isPlatformConnected(): boolean {
-    return this.contact.readSource(this.options.now()) !== 'none';
+    return this.connectivity.readSource(this.options.now()) !== 'none';
   }
 
-  /** Whether every change of the list reaches this box by itself. */
+  /** Whether every change of the list reaches this box without a request. */
   get isReceivingUpdates(): boolean {
-    return this.contact.isReceivingUpdates(this.options.now());
+    return this.connectivity.isReceivingUpdates(this.options.now());
   }
 
-  /** What peers are told of the platform; undefined if this box cannot say. */
+  /** Report about the platform for peers; undefined if this box cannot make one. */
   get platformReport(): PlatformReport | undefined {
-    return this.contact.createReport(this.options.now());
+    return this.connectivity.createReport(this.options.now());
   }
 
-  /** Whether the box knows what to serve and where. */
+  /** Whether the box has a configuration and endpoints. */
   get isInitialized(): boolean {
     return this.currentIndex !== undefined && this.options.table.byId.size > 0;
   }
 
-  /** All endpoints that are known, or only those that are listed, or only those that are kept although they are not. */
+  /** All known endpoints, or only those that are listed, or only those that are kept as lapsed. */
   listEndpoints(which: 'all' | 'listed' | 'lapsed' = 'all'): ListedEndpoint[] {
     return [...this.options.table.byId.values()]
       .filter((row) => which === 'all' || row.isLapsed === (which === 'lapsed'))
       .map((row) => describeListing(row, this.options.now()));
   }
 
-  /** Takes over an answer of the platform; returns it as what changed since the revision that this box had. */
-  applyPublication(answer: Publication): Publication {
-    this.noteAnswer();
-    const position = { era: answer.era ?? this.era, revision: answer.revision };
-    this.noteEra(position, 'platform');
-    const publication = { ...answer, era: position.era, ...this.screen(answer) };
+  /** Applies a response of the platform; returns it as the changes since the revision that this box had. */
+  applyPublication(response: Publication): Publication {
+    this.recordResponse();
+    const position = { era: response.era ?? this.era, revision: response.revision };
+    this.updateEra(position, 'platform');
+    const publication = { ...response, era: position.era, ...this.screen(response) };
     const difference = this.describeDifference(publication, position);
-    // An answer that peers have overtaken would bring back endpoints that they said are gone.
+    // A response older than the list from peers would bring back endpoints that they reported as removed.
     if (isNewerPosition(this.position, position)) this.logOutdatedList(publication);
     else this.applyLists(publication, position, 'platform');
-    // Last: a large one keeps a small box busy for a while, and an endpoint that leaves would get requests meanwhile.
+    // Applied last: a large configuration keeps a small box busy for a while, in which a leaving endpoint would get
+    // requests.
     if (publication.configurationText !== undefined) this.applyConfiguration(publication.configurationText);
     return difference;
   }
 
-  /** Takes over a configuration that the platform published, if it is newer than the one in force. */
+  /** Applies a configuration that the platform published, if it is newer than the one in force. */
   applyConfiguration(text: string): void {
     const parsed = this.options.parseConfiguration(text);
     if (parsed.err) {
@@ -163,7 +167,7 @@
     this.adoptConfiguration(parsed.val, 'platform');
   }
 
-  /** Takes over a decoded configuration if it is newer than the one in force. */
+  /** Applies a decoded configuration if it is newer than the one in force. */
   adoptConfiguration(configuration: FleetConfiguration, source: ValueSource): void {
     const current = this.currentIndex?.configuration;
     if (current !== undefined && configuration.version <= current.version) return;
@@ -171,8 +175,8 @@
   }
 
   /**
-   * Takes over what a peer says changed in the configuration; older changes are passed over. The change may begin at any
-   * version that was in force here: followers that cover for each other do not see the same versions.
+   * Applies a change of the configuration that a peer sent; older changes are ignored. The change may apply to any
+   * version that was in force here: watchers that back each other up do not see the same versions.
    */
   adoptConfigurationChange(change: ConfigurationChange): Result<void, ChangeFailure> {
     if (change.version <= this.configurationVersion) return Ok(undefined);
@@ -184,7 +188,7 @@
     return Ok(undefined);
   }
 
-  /** What leads from a version that was in force to the one that is; undefined if that version is not kept. */
+  /** Change from an earlier version to the one in force; undefined if that version is not kept. */
   createChangeSince(fromVersion: number): ConfigurationChange | undefined {
     const after = this.currentIndex?.configuration;
     const before = this.configurations.find((kept) => kept.version === fromVersion);
@@ -192,7 +196,7 @@
     return diffConfigurations(this.digest, before, after);
   }
 
-  /** About what a change takes to send, in characters. */
+  /** Approximate size of a change when sent, in characters. */
   measureChange(change: ConfigurationChange): number {
     const { routes, services, teams } = change;
     return [routes, services, teams].reduce(
@@ -202,62 +206,65 @@
     );
   }
 
-  /** Takes over changes of the list of endpoints and of the halls to be emptied, which then are as new as `position`. */
+  /**
+   * Applies changes of the list of endpoints and of the evacuation orders, which then have the revision of
+   * `position`.
+   */
   applyLists(changes: ListChanges, position: ListPosition, source: ValueSource): void {
-    const wasInformed = this.isInitialized;
-    this.noteEra(position, source);
+    const wasInitialized = this.isInitialized;
+    this.updateEra(position, source);
     const { endpointChanges, evacuationChanges } = this.screen(changes);
     if (isNewerPosition(position, this.position)) this.position = position;
-    // First: an endpoint that comes with an order for its hall must not get a request in between.
+    // Applied first: an endpoint listed together with an order for its hall must not get a request in between.
     for (const change of evacuationChanges) this.applyEvacuationChange(change, source);
     for (const change of endpointChanges) this.applyEndpointChange(change, position.revision, source);
     this.measureLapsed();
-    this.notifyOnceInformed(wasInformed);
+    this.notifyOnceInitialized(wasInitialized);
   }
 
-  /** The platform does not answer this box. */
+  /** Handles a failed call of this box to the platform. */
   handleReadFailure(reason: string): void {
-    const wasReading = this.contact.readSource(this.options.now()) === 'own';
-    this.contact.recordFailure();
+    const wasReading = this.connectivity.readSource(this.options.now()) === 'own';
+    this.connectivity.recordFailure();
     if (wasReading) this.options.log.write('lifecycle', 'platformLost', { reason });
-    this.noteContact();
+    this.logConnectivity();
   }
 
-  /** A peer that follows the platform told this box all that changed. */
-  recordPeerUpdate(address: string, unsettledMs: number): void {
-    this.contact.recordPeerUpdate(address, unsettledMs, this.options.now());
-    this.noteContact();
+  /** Records that a watcher sent this box all changes. */
+  recordPeerUpdate(address: string, gracePeriodMs: number): void {
+    this.connectivity.recordPeerUpdate(address, gracePeriodMs, this.options.now());
+    this.logConnectivity();
   }
 
-  /** A peer that is in touch with the platform has nothing newer than this box. */
+  /** Records that a peer connected to the platform has nothing newer than this box. */
   recordPeerConfirmation(address: string, report: PlatformReport): void {
-    this.contact.recordPeerConfirmation(address, report, this.options.now());
-    this.noteContact();
+    this.connectivity.recordPeerConfirmation(address, report, this.options.now());
+    this.logConnectivity();
   }
 
-  /** A peer is not in touch with the platform any more. */
+  /** Removes the report of a peer that has lost the platform. */
   removePeerReport(address: string): void {
-    this.contact.removePeerReport(address);
-    this.noteContact();
+    this.connectivity.removePeerReport(address);
+    this.logConnectivity();
   }
 
   /** Runs once a tick. */
   tick(nowMs: number): void {
-    this.contact.tick(nowMs);
-    this.noteContact();
+    this.connectivity.tick(nowMs);
+    this.logConnectivity();
     this.directory.tick(nowMs);
   }
 
-  private noteAnswer(): void {
+  private recordResponse(): void {
     const { log, now } = this.options;
-    const wasReading = this.contact.readSource(now()) === 'own';
-    this.contact.recordAnswer(now());
+    const wasReading = this.connectivity.readSource(now()) === 'own';
+    this.connectivity.recordAnswer(now());
     if (!wasReading) log.write('lifecycle', 'platformRegained', { revision: this.position.revision });
-    this.noteContact();
+    this.logConnectivity();
   }
 
   /** Detects a restore of the platform by a later era, and starts the period in which its lists are screened. */
-  private noteEra({ era, revision }: ListPosition, source: ValueSource): void {
+  private updateEra({ era, revision }: ListPosition, source: ValueSource): void {
     if (era <= this.era) return;
     const { log, metrics, now } = this.options;
     const before = this.era;
@@ -271,7 +278,7 @@
       listRevision: this.position.revision,
       source,
     });
-    this.contact.handleRestore(source === 'platform', now());
+    this.connectivity.handleRestore(source === 'platform', now());
     this.directory.handleRestore(now());
   }
 
@@ -301,22 +308,22 @@
     });
   }
 
-  /** Logs by whom the platform is known, whenever that changes. */
-  private noteContact(): void {
+  /** Logs each change in how this box learns what the platform publishes. */
+  private logConnectivity(): void {
     const { log, now } = this.options;
-    const contact = this.contact.readSource(now());
-    if (contact === this.contactKind) return;
+    const source = this.connectivity.readSource(now());
+    if (source === this.connectivitySource) return;
     log.write('lifecycle', 'platformContact', {
-      contact,
-      before: this.contactKind,
+      contact: source,
+      before: this.connectivitySource,
       revision: this.position.revision,
-      unsettledMs: toLogMs(this.contact.readGracePeriodMs(now())),
+      unsettledMs: toLogMs(this.connectivity.readGracePeriodMs(now())),
     });
-    this.contactKind = contact;
+    this.connectivitySource = source;
   }
 
   private install(configuration: FleetConfiguration, source: ValueSource): void {
-    const wasInformed = this.isInitialized;
+    const wasInitialized = this.isInitialized;
     const before = this.currentIndex?.configuration.version;
     this.currentIndex = new RouteIndex(configuration);
     this.configurations.push(configuration);
@@ -329,10 +336,10 @@
       source,
       routes: configuration.routes.length,
     });
-    this.notifyOnceInformed(wasInformed);
+    this.notifyOnceInitialized(wasInitialized);
   }
 
-  /** A whole list, told as what changed in it, so that peers which had the same list need not ask for it. */
+  /** Converts a whole list to its changes, so that peers that had the same list need not request it. */
   private describeDifference(publication: Publication, position: ListPosition): Publication {
     const isComparable = this.position !== NO_LIST && position.era === this.position.era;
     if (!isComparable || position.revision < this.position.revision) return publication;
@@ -354,7 +361,10 @@
     });
   }
 
-  /** Endpoints that got nothing for a while may have been restarted meanwhile, and say so later than callers come back. */
+  /**
+   * Assumes that the endpoints of a hall are cold. They got no requests for a while and may have been restarted
+   * meanwhile, and their entries report that later than callers come back.
+   */
   private assumeHallCold(hall: string): void {
     const { now, table } = this.options;
     for (const row of table.byId.values()) if (row.listing.hall === hall) assumeCold(row, now());
@@ -379,8 +389,8 @@
     metrics.evacuatedHalls.set(this.evacuations.list().length);
   }
 
-  private notifyOnceInformed(wasInformed: boolean): void {
-    if (!wasInformed && this.isInitialized) this.options.onInitialized();
+  private notifyOnceInitialized(wasInitialized: boolean): void {
+    if (!wasInitialized && this.isInitialized) this.options.onInitialized();
   }
 
   private handleRemoved(id: string, reason: string): void {
@@ -389,11 +399,11 @@
     this.options.log.write('lifecycle', 'endpointRemoved', { id, reason });
   }
 
-  private handleLapsed(id: string, unsettledMs: number): void {
+  private handleLapsed(id: string, gracePeriodMs: number): void {
     this.options.log.write('lifecycle', 'endpointLapsed', {
       id,
-      contact: this.contactKind,
-      unsettledMs: toLogMs(unsettledMs),
+      contact: this.connectivitySource,
+      unsettledMs: toLogMs(gracePeriodMs),
     });
   }
 
@@ -402,13 +412,13 @@
   }
 }
 
-/** What is published of an endpoint, with what is left of the time for which it is cold. */
+/** Listing of an endpoint, with the remaining time for which it is cold. */
 function describeListing({ listing, coldUntilMs }: EndpointRow, nowMs: number): ListedEndpoint {
   if (listing.coldMs === undefined) return listing;
   return { ...listing, coldMs: Math.max(0, Math.ceil(coldUntilMs - nowMs)) };
 }
 
-/** Milliseconds as they are logged: nothing stands for a wait without an end. */
+/** Milliseconds as they are logged; undefined, which leaves the field out, if infinite. */
 function toLogMs(ms: number): number | undefined {
   return Number.isFinite(ms) ? Math.ceil(ms) : undefined;
 }
--- a/packages/router/src/systems/snapshotDifference.ts
+++ b/packages/router/src/systems/snapshotDifference.ts
@@ -1,21 +1,21 @@
-/** Works out what a whole list of endpoints and evacuation orders changes for a box that has an earlier one. */
+/** Computes what a whole list of endpoints and evacuation orders changes for a box that has an earlier one. */
 import type { ListedEndpoint } from '../records.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 import type { EndpointChange } from './endpointDirectory.js';
 import type { EvacuationChange } from './evacuations.js';
 
-/** What is published of endpoints and halls; both are as new as one revision. */
+/** Changes of the endpoints and evacuation orders, both as of one revision. */
 export interface ListChanges {
   readonly endpointChanges: readonly EndpointChange[];
-  /** Orders to empty halls, and their ends; all of them where the changes hold the whole list. */
+  /** Evacuation orders and their ends; all orders in force if the endpoint changes hold the whole list. */
   readonly evacuationChanges: readonly EvacuationChange[];
 }
 
 /**
- * Compares a whole list with what a box has; undefined if the list is none but changes already.
+ * Compares a whole list with the state of a box; undefined if the list consists of changes already.
  *
- * @param byId endpoints that the box has
- * @param evacuatedHalls halls that are to be emptied, as far as the box knows
+ * @param byId endpoints known to the box
+ * @param evacuatedHalls halls under an evacuation order at the box
  * @example diffSnapshot({ endpointChanges: [{ type: 'snapshot', endpoints: [] }], evacuationChanges: [] }, byId, []) // all removed
  */
 export function diffSnapshot(
@@ -23,11 +23,11 @@
   byId: ReadonlyMap<string, EndpointRow>,
   evacuatedHalls: readonly string[],
 ): ListChanges | undefined {
-  const [whole] = endpointChanges;
-  if (whole?.type !== 'snapshot') return undefined;
-  const ids = new Set(whole.endpoints.map((endpoint) => endpoint.id));
-  const gone = [...byId.keys()].filter((id) => !ids.has(id));
-  const written = whole.endpoints.filter(
+  const [snapshot] = endpointChanges;
+  if (snapshot?.type !== 'snapshot') return undefined;
+  const ids = new Set(snapshot.endpoints.map((endpoint) => endpoint.id));
+  const removedIds = [...byId.keys()].filter((id) => !ids.has(id));
+  const written = snapshot.endpoints.filter(
     (endpoint) => !isSameListing(byId.get(endpoint.id)?.listing, endpoint),
   );
   const ordered = evacuationChanges.flatMap((change) => (change.type === 'snapshot' ? change.halls : []));
@@ -35,7 +35,7 @@
   return {
     endpointChanges: [
       ...written.map((endpoint) => ({ type: 'listed', endpoint }) as const),
-      ...gone.map((id) => ({ type: 'removed', id }) as const),
+      ...removedIds.map((id) => ({ type: 'removed', id }) as const),
     ],
     evacuationChanges: [
       ...ordered.map((hall) => ({ type: 'ordered', hall }) as const),
