--- a/packages/router/src/systems/drawEndpoint.ts
+++ b/packages/router/src/systems/drawEndpoint.ts
@@ -1,12 +1,13 @@
 /**
- * Draws endpoints at random. Where loads are old and known to all boxes alike, the less loaded of two drawn avoids the
- * fullest without sending all requests to the one that looked emptiest (the power of two choices, Mitzenmacher, 2001).
+ * Random choice of endpoints. Load information is outdated and the same at all boxes. Taking the less loaded of two
+ * random endpoints avoids the most loaded one without sending all requests to the one that looked least loaded (the
+ * power of two choices, Mitzenmacher, 2001).
  */
 
 /**
- * One of several, each as likely.
+ * Draws one item at random, all with equal probability.
  *
- * @param random between 0 and 1
+ * @param random returns a number between 0 and 1
  * @example drawOne(['a', 'b'], () => 0.6) // 'b'
  */
 export function drawOne<T>(items: readonly T[], random: () => number): T | undefined {
@@ -14,21 +15,22 @@
 }
 
 /**
- * How strongly requests leave an endpoint that holds too much: what it should hold over what it holds, to this power, is
- * the part that stays. A higher power makes the others the fullest before anybody hears of it; a lower one leaves a
- * slow endpoint too much.
+ * Controls how many requests are diverted from an overloaded endpoint: the share that stays is the use it should have
+ * divided by the use it has, raised to this power. A higher power overloads the other endpoints before newer loads
+ * arrive; a lower one leaves too many requests at a slow endpoint.
  */
-const LEAVING_POWER = 1.5;
+const DIVERSION_POWER = 1.5;
 
 /**
- * One drawn at random, unless it holds more than is due: then the part of the requests that it has too many of goes to
- * others. All boxes know the same old loads; if each took the emptiest, all would, until they hear otherwise.
+ * Returns the drawn item unless its use exceeds that of the others: then the excess share of requests is diverted to
+ * others. All boxes have the same outdated loads. If each chose the least loaded item, they would all choose the same
+ * one until newer loads arrive.
  *
- * @param first the one that was drawn
- * @param use how full one is, above 0
- * @param allowance so much fuller than the others it may be
- * @param random between 0 and 1
- * @example leaveIfFull('a', ['a', 'b'], (id) => (id === 'a' ? 9 : 1), 0, Math.random) // nearly always 'b'
+ * @param first the drawn item
+ * @param use how fully an item is used, above 0
+ * @param allowance by how much its use may exceed the mean of the others
+ * @param random returns a number between 0 and 1
+ * @example divertIfOverloaded('a', ['a', 'b'], (id) => (id === 'a' ? 9 : 1), 0, Math.random) // nearly always 'b'
  */
 export function divertIfOverloaded<T>(
   first: T,
@@ -39,15 +41,15 @@
 ): T {
   const others = items.filter((item) => item !== first);
   if (others.length === 0) return first;
-  const dueUse = others.reduce((sum, item) => sum + use(item), 0) / others.length + allowance;
-  if (random() < (dueUse / use(first)) ** LEAVING_POWER) return first;
+  const fairUse = others.reduce((sum, item) => sum + use(item), 0) / others.length + allowance;
+  if (random() < (fairUse / use(first)) ** DIVERSION_POWER) return first;
   return drawLowerOfTwo(others, use, random) ?? first;
 }
 
 /**
- * The one with the lower score of two drawn.
+ * Draws two items at random and returns the one with the lower score.
  *
- * @example drawLower([7, 3], (item) => item, Math.random) // 3, or 7 in one of four
+ * @example drawLowerOfTwo([7, 3], (item) => item, Math.random) // 3, or 7 in one of four
  */
 export function drawLowerOfTwo<T>(
   items: readonly T[],
--- a/packages/router/src/systems/loadExchange.ts
+++ b/packages/router/src/systems/loadExchange.ts
@@ -1,13 +1,13 @@
-/** Loads that boxes tell each other, so that each knows what all of them together have at an endpoint. */
+/** Loads that boxes exchange, so that each one has the load of an endpoint from all boxes together. */
 import type { Report } from './recentReports.js';
 import type { PairList } from './pairList.js';
 import { addPairs, readPairs } from './pairList.js';
 import type { EndpointTable } from '../tables/endpointTable.js';
 
-/** Tag of an endpoint and the requests there, in turn. */
+/** Alternating tags of endpoints and numbers of requests in flight there. */
 export type LoadList = PairList;
 
-/** This box's loads. Idle endpoints are left out. */
+/** Loads of this box. Idle endpoints are omitted. */
 export function listOwnLoads(table: EndpointTable): number[] {
   const loads: number[] = [];
   for (const row of table.byId.values()) if (row.inFlight > 0) loads.push(row.tag, row.inFlight);
@@ -15,7 +15,7 @@
 }
 
 /**
- * What is left of a sum without one part of it; nothing is less than zero, since the part may be newer than the sum.
+ * Subtracts one part from a sum of loads. Negative results are omitted, since the part may be newer than the sum.
  *
  * @example subtractLoads([7, 3, 9, 4], [7, 3, 9, 1]) // [9, 3]
  */
@@ -25,7 +25,7 @@
   return rest.filter(([, requests]) => requests > 0).flat();
 }
 
-/** Writes what the peers told into the table. */
+/** Writes the loads that peers reported into the table. */
 export function applyPeerLoads(table: EndpointTable, lists: readonly LoadList[]): void {
   for (const row of table.byId.values()) row.peersInFlight = 0;
   for (const [tag, requests] of readPairs(addPairs(lists))) {
@@ -34,18 +34,18 @@
   }
 }
 
-/** A sum of loads, the number of boxes in it and how old the oldest of them is. */
+/** A sum of loads, the number of boxes included and the age of the oldest load. */
 export interface LoadSum {
   readonly loads: LoadList;
   readonly boxes: number;
   readonly ageMs: number;
 }
 
-/** Adds up the sums that still count. */
-export function sumLoadReports(told: readonly Report<LoadSum>[], nowMs: number): LoadSum {
+/** Adds up reported loads. */
+export function sumLoadReports(reports: readonly Report<LoadSum>[], nowMs: number): LoadSum {
   return {
-    loads: addPairs(told.map(({ value }) => value.loads)),
-    boxes: told.reduce((sum, { value }) => sum + value.boxes, 0),
-    ageMs: Math.max(0, ...told.map(({ value, receivedAtMs: heardAtMs }) => value.ageMs + nowMs - heardAtMs)),
+    loads: addPairs(reports.map(({ value }) => value.loads)),
+    boxes: reports.reduce((sum, { value }) => sum + value.boxes, 0),
+    ageMs: Math.max(0, ...reports.map(({ value, receivedAtMs }) => value.ageMs + nowMs - receivedAtMs)),
   };
 }
--- a/packages/router/src/systems/pairList.ts
+++ b/packages/router/src/systems/pairList.ts
@@ -1,10 +1,10 @@
-/** Short lists of a number and its count in turn: how boxes tell each other loads and demand in few bytes. */
+/** Flat lists of keys and counts, in which boxes send loads and demand in few bytes. */
 
-/** A key and a count, in turn. */
+/** Alternating keys and counts. */
 export type PairList = readonly number[];
 
 /**
- * Adds counts key by key.
+ * Adds counts by key.
  *
  * @example addPairs([[7, 2], [7, 1, 9, 4]]) // [7, 3, 9, 4]
  */
@@ -17,7 +17,7 @@
 }
 
 /**
- * Reads a list pair by pair.
+ * Iterates over the pairs of a list.
  *
  * @example [...readPairs([7, 2, 9, 4])] // [[7, 2], [9, 4]]
  */
--- a/packages/router/src/systems/placement.ts
+++ b/packages/router/src/systems/placement.ts
@@ -1,10 +1,11 @@
 /**
  * Chooses the endpoint of a request.
  *
- * A generation goes to the home of its shared prompt: every box ranks the endpoints in the same order by rendezvous
- * hashing, so that a prompt is kept in one place in the whole fleet, also after all boxes started anew. A loaded home
- * passes work to the next in that order, the same one for all boxes. An endpoint that does not hold the prompt takes it
- * from one that does, as far as boxes know. Requests without a prompt: `plainPlacement.ts`.
+ * A generation goes to the preferred endpoint of its shared prompt: every box ranks the endpoints in the same order
+ * by rendezvous hashing, so that a prompt is cached in one place in the whole fleet, even after all boxes have
+ * restarted. If the preferred endpoint has no capacity, the request goes to the next one in that order, which is the
+ * same for all boxes. An endpoint without the prompt fetches it from a known holder. Requests without a prompt:
+ * `plainPlacement.ts`.
  */
 import type { Hasher } from '@hazelwalk/core';
 import type { ColdStart, PromptPart } from '../records.js';
@@ -20,38 +21,41 @@
 import type { PromptHolders } from './promptHolders.js';
 import { MAX_HOLDERS } from './promptHolders.js';
 
-/** How the loads of other boxes come: from each of them, or as sums by way of others, which makes them older. */
+/** How the loads of other boxes arrive: from each box directly, or as relayed sums, which are older. */
 export type LoadPath = 'direct' | 'relayed';
 
-/** Most that an endpoint may carry: a multiple of the mean load, and so many requests on top. */
+/** Highest load of an endpoint: a multiple of the mean load, plus a constant. */
 interface LoadCap {
   readonly factor: number;
   readonly allowance: number;
 }
 
 /**
- * The deployment's bound is twice the mean and three. How near one may go depends on how old loads are: 0.3 s when they
- * come from each box; up to a second as sums, in which time a hot prompt adds some requests to its home.
+ * The deployment's bound is twice the mean plus three. How close to it the cap can be depends on the age of the
+ * loads: 0.3 s if they arrive directly, and up to a second as sums, in which time a hot prompt adds some requests to
+ * its preferred endpoint.
  */
 const LOAD_CAPS: Readonly<Record<LoadPath, LoadCap>> = {
   direct: { factor: 1.8, allowance: 2.4 },
   relayed: { factor: 1.7, allowance: 2 },
 };
 
-/** What placement needs to know of a request. */
+/** Properties of a request that placement depends on. */
 export interface PlacementRequest {
   readonly service: string;
   readonly promptParts: readonly PromptPart[];
-  /** What endpoints of the service bear until they have warmed up; absent where they bear all at once. */
+  /**
+   * What endpoints of the service sustain until they have warmed up; absent if they sustain full load from the start.
+   */
   readonly coldStart?: ColdStart | undefined;
-  /** Lists of regions, each of which has to name that of the endpoint; a request may be bound by several. */
+  /** Lists of regions, each of which has to include that of the endpoint; several lists may apply to one request. */
   readonly allowedRegions?: readonly (readonly string[])[];
-  /** Endpoints that were tried already. */
+  /** Ids of endpoints that were tried already. */
   readonly excluded: ReadonlySet<string>;
 }
 
 /**
- * Names the prompt that a request shares with others: all parts but the last, which is its own.
+ * Identifies the prompt that a request shares with others: all parts but the last, which is the request's own.
  *
  * @example readSharedPrompt([{ id: 'a', tokens: 9 }, { id: 'b', tokens: 2 }]) // 'a'
  */
@@ -62,7 +66,7 @@
 }
 
 /**
- * Names what a request shares with others by the last part of it: an engine that holds it holds the parts before it.
+ * Identifies the shared prompt of a request by its last part: an engine that holds this part holds those before it.
  *
  * @example readSharedPart([{ id: 'a', tokens: 9 }, { id: 'b', tokens: 5 }, { id: 'c', tokens: 2 }]) // 'b'
  */
@@ -72,18 +76,18 @@
 
 /** How an endpoint was chosen. */
 export type PlacementWay =
-  /** The first in the order of its prompt. */
+  /** The preferred endpoint of its prompt: the first in the order of rendezvous hashing. */
   | 'home'
   /** One of the first in that order, over which a hot prompt is spread. */
   | 'hot'
-  /** A later one in that order, since those before it have no room. */
+  /** A later one in that order, since those before it have no capacity. */
   | 'overflow'
-  /** The less loaded of two drawn at random, since none has room. */
+  /** The less loaded of two drawn at random, since none has capacity. */
   | 'noRoom'
   /** By load and hall, without a prompt. */
   | 'plain';
 
-/** Why a request goes nowhere: result codes of its refusal. */
+/** Why no endpoint could be chosen; also the result code of the refusal. */
 export type PlacementFailureReason =
   'noEndpoint' | 'hallsEvacuated' | 'endpointsBackingOff' | 'endpointsCold';
 
@@ -94,48 +98,48 @@
   readonly waitMs: number;
 }
 
-/** Where a request goes. */
+/** The chosen endpoint and the reasons for the choice. */
 export interface PlacementChoice {
   readonly row: EndpointRow;
   readonly way: PlacementWay;
-  /** Requests that this box believed the endpoint to hold, and the mean of its service. */
+  /** Requests in flight at the endpoint as known to this box, and the mean of its service. */
   readonly load: number;
   readonly meanLoad: number;
-  /** An endpoint that holds the shared prompt, as far as is known, while the chosen one does not. */
+  /** An endpoint that probably holds the shared prompt while the chosen one does not. */
   readonly cacheSource: EndpointRow | undefined;
 }
 
-/** An endpoint that was listed this much later than another may lack prompts that the other holds. */
+/** An endpoint listed this much later than another one may lack prompts that the other one holds. */
 const NEWCOMER_LEAD_MS = 1_000;
-/** A newcomer has met the prompts that are in use after this. */
+/** After this time a new endpoint has received the prompts in use. */
 const NEWCOMER_MS = 30_000;
 
-/** What placement works with. */
+/** Settings and dependencies of placement. */
 export interface PlacementOptions {
   readonly table: EndpointTable;
   readonly hasher: Hasher;
   /** Hall of this box. */
   readonly hall: string;
-  /** Between 0 and 1. */
+  /** Returns a number between 0 and 1. */
   readonly random: () => number;
   readonly promptHolders: PromptHolders;
   readonly demand: PromptDemand;
-  /** Halls that are to be emptied: their endpoints get nothing. */
+  /** Evacuated halls, whose endpoints get no requests. */
   readonly evacuations: Evacuations;
-  /** Decides which cold endpoints this box may send to. */
+  /** Limits the requests of this box to cold endpoints. */
   readonly cold: ColdEndpointLimiter;
   /** Region of a hall; undefined if it is not known. */
   readonly findRegion: (hall: string) => string | undefined;
   readonly readLoadPath: () => LoadPath;
-  /** How old the oldest loads of other boxes are that this one knows. */
+  /** Age of the oldest load report of the other boxes. */
   readonly readLoadAgeMs: () => number;
 }
 
-/** Chooses endpoints for one box. */
+/** Chooses the endpoints for the requests of one box. */
 export class Placement {
   constructor(private readonly options: PlacementOptions) {}
 
-  /** The endpoint to send to, which then counts as sent; undefined if none can take the request. */
+  /** Chooses an endpoint and records the request as sent; undefined if none can take the request. */
   choose(request: PlacementRequest, nowMs: number): PlacementChoice | undefined {
     const choice = this.find(request, nowMs);
     if (choice !== undefined) this.options.cold.recordSent(choice.row, nowMs);
@@ -143,9 +147,9 @@
   }
 
   /**
-   * Why no endpoint could be chosen.
+   * Explains why no endpoint could be chosen.
    *
-   * @example placement.explainNone(request, nowMs) // { reason: 'hallsEvacuated', waitMs: 0 }
+   * @example placement.explainFailure(request, nowMs) // { reason: 'hallsEvacuated', waitMs: 0 }
    */
   explainFailure(request: PlacementRequest, nowMs: number): PlacementFailure {
     const live = this.listLive(request.service);
@@ -170,7 +174,7 @@
   }
 
   private find(request: PlacementRequest, nowMs: number): PlacementChoice | undefined {
-    const { hasher, hall, random, promptHolders: homes, demand } = this.options;
+    const { hasher, hall, random, promptHolders, demand } = this.options;
     const live = this.listLive(request.service);
     const open = this.listAllowed(this.listOpen(live), request);
     const accepting = open.filter((row) => readBackOffMs(row, nowMs) === 0);
@@ -184,33 +188,34 @@
       return plain === undefined ? undefined : describeChoice(plain, 'plain', meanLoad, undefined);
     }
     const key = hasher.h32(readSharedPart(request.promptParts) ?? prompt);
-    const holders = new Set(homes.list(key));
+    const holderTags = new Set(promptHolders.list(key));
     demand.recordRequest(key);
     const width = demand.readSpreadWidth(key, nowMs, this.options.readLoadAgeMs());
-    const home = this.chooseHome(rows, prompt, meanLoad, width);
-    if (home === undefined) return undefined;
-    const { row, way } = home;
-    const cacheSource = holders.has(row.tag)
+    const preferred = this.choosePreferred(rows, prompt, meanLoad, width);
+    if (preferred === undefined) return undefined;
+    const { row, way } = preferred;
+    const cacheSource = holderTags.has(row.tag)
       ? undefined
-      : (this.findHolder(row, request, prompt, holders, nowMs) ??
+      : (this.findHolder(row, request, prompt, holderTags, nowMs) ??
         this.guessHolder(row, request, prompt, nowMs));
-    // Of a hot prompt a few holders are enough to take it from: naming all of them each time would be news without end.
-    if (way !== 'hot' || holders.size < MAX_HOLDERS) homes.record(key, row.tag);
+    // A few holders of a hot prompt suffice as cache sources: recording each endpoint it is spread over would cause
+    // endless reports.
+    if (way !== 'hot' || holderTags.size < MAX_HOLDERS) promptHolders.record(key, row.tag);
     return describeChoice(row, way, meanLoad, cacheSource);
   }
 
-  /** Endpoints of a service that are not about to leave. */
+  /** Endpoints of a service that are not leaving. */
   private listLive(service: string): readonly EndpointRow[] {
     return this.options.table.listService(service).filter((row) => !isLeaving(row));
   }
 
-  /** Endpoints outside the halls that are to be emptied. */
+  /** Endpoints outside evacuated halls. */
   private listOpen(rows: readonly EndpointRow[]): readonly EndpointRow[] {
     const { evacuations } = this.options;
     return evacuations.isEmpty ? rows : rows.filter((row) => !evacuations.isEvacuated(row.listing.hall));
   }
 
-  /** Endpoints of the regions that the request may reach. */
+  /** Endpoints in the regions that the request may reach. */
   private listAllowed(
     rows: readonly EndpointRow[],
     { allowedRegions = [] }: PlacementRequest,
@@ -222,7 +227,7 @@
     });
   }
 
-  /** Endpoints that bear a request of this box more: cold ones only in its turn. */
+  /** Endpoints to which this box may send another request; its share limits those to cold ones. */
   private listAdmitted(
     rows: readonly EndpointRow[],
     coldStart: ColdStart | undefined,
@@ -233,61 +238,63 @@
   }
 
   /**
-   * The home, or what stands in for it. The cap goes by the mean of the whole service, so that endpoints which this box
-   * has tried, or believes to be gone, do not raise it for the others; only if all of these are over it, by their own.
+   * The preferred endpoint or its replacement. The cap depends on the mean load of the whole service, so that
+   * endpoints which this box has tried or considers down do not raise it for the others. If all candidates exceed the
+   * cap, it depends on their own mean.
    */
-  private chooseHome(
+  private choosePreferred(
     rows: readonly EndpointRow[],
     prompt: string,
     meanLoad: number,
     width: number,
   ): Pick<PlacementChoice, 'row' | 'way'> | undefined {
     const { random } = this.options;
-    const withRoom = this.listWithRoom(rows, meanLoad) ?? this.listWithRoom(rows, readMeanLoad(rows));
-    if (withRoom === undefined) {
+    const withCapacity =
+      this.listWithCapacity(rows, meanLoad) ?? this.listWithCapacity(rows, readMeanLoad(rows));
+    if (withCapacity === undefined) {
       const least = drawLowerOfTwo(rows, readFleetLoad, random);
       return least === undefined ? undefined : { row: least, way: 'noRoom' };
     }
     if (width > 1) {
-      const first = this.listBestRanked(withRoom, prompt, width);
+      const first = this.listBestRanked(withCapacity, prompt, width);
       const drawn = drawOne(first, random);
       if (drawn === undefined) return undefined;
       const readNext = (row: EndpointRow): number => readFleetLoad(row) + 1;
       return { row: divertIfOverloaded(drawn, first, readNext, 0, random), way: 'hot' };
     }
-    // Ranking hashes each endpoint: most homes have room, and then once is enough.
-    const home = this.findBestRanked(rows, prompt);
-    if (home !== undefined && withRoom.includes(home)) return { row: home, way: 'home' };
-    const next = this.findBestRanked(withRoom, prompt);
+    // Ranking hashes every endpoint. Most preferred endpoints have capacity, and then one ranking suffices.
+    const preferred = this.findBestRanked(rows, prompt);
+    if (preferred !== undefined && withCapacity.includes(preferred)) return { row: preferred, way: 'home' };
+    const next = this.findBestRanked(withCapacity, prompt);
     return next === undefined ? undefined : { row: next, way: 'overflow' };
   }
 
-  /** Endpoints that may take one request more; undefined if none may. */
-  private listWithRoom(rows: readonly EndpointRow[], meanLoad: number): EndpointRow[] | undefined {
+  /** Endpoints that have capacity for one more request; undefined if none has. */
+  private listWithCapacity(rows: readonly EndpointRow[], meanLoad: number): EndpointRow[] | undefined {
     const { factor, allowance } = LOAD_CAPS[this.options.readLoadPath()];
     const cap = factor * meanLoad + allowance;
-    const withRoom = rows.filter((row) => readFleetLoad(row) + 1 <= cap);
-    return withRoom.length > 0 ? withRoom : undefined;
+    const withCapacity = rows.filter((row) => readFleetLoad(row) + 1 <= cap);
+    return withCapacity.length > 0 ? withCapacity : undefined;
   }
 
-  /** An endpoint that is known to hold the prompt and can still be reached, if only to take the prompt from it. */
+  /** A known holder of the prompt that is reachable, if only to fetch the prompt from it. */
   private findHolder(
     chosen: EndpointRow,
     request: PlacementRequest,
     prompt: string,
-    holders: ReadonlySet<number>,
+    holderTags: ReadonlySet<number>,
     nowMs: number,
   ): EndpointRow | undefined {
     const reachable = this.listReachable(request, nowMs);
     return this.findBestRanked(
-      reachable.filter((row) => row !== chosen && holders.has(row.tag)),
+      reachable.filter((row) => row !== chosen && holderTags.has(row.tag)),
       prompt,
     );
   }
 
   /**
-   * An endpoint that probably holds a prompt of which this box knows nothing: the best ranked of those that were there
-   * before the chosen one, or the home itself if the chosen one only stands in for it.
+   * An endpoint that probably holds a prompt without known holders: the preferred endpoint if another one was chosen,
+   * otherwise, if the chosen one is new, the best ranked of those listed before it.
    */
   private guessHolder(
     chosen: EndpointRow,
@@ -296,8 +303,8 @@
     nowMs: number,
   ): EndpointRow | undefined {
     const reachable = this.listReachable(request, nowMs);
-    const home = this.findBestRanked(reachable, prompt);
-    if (home !== undefined && home !== chosen) return home;
+    const preferred = this.findBestRanked(reachable, prompt);
+    if (preferred !== undefined && preferred !== chosen) return preferred;
     if (nowMs - chosen.listedAtMs > NEWCOMER_MS) return undefined;
     const older = reachable.filter((row) => row.listedAtMs + NEWCOMER_LEAD_MS < chosen.listedAtMs);
     return this.findBestRanked(older, prompt);
@@ -310,7 +317,7 @@
       .filter((row) => evacuations.mayServeCache(row.listing.hall, nowMs));
   }
 
-  /** The first few in the order of endpoints that all boxes share for a prompt. */
+  /** The first endpoints in the order that all boxes share for a prompt. */
   private listBestRanked(rows: readonly EndpointRow[], prompt: string, count: number): EndpointRow[] {
     return rows
       .map((row) => ({ row, score: this.options.hasher.h32(prompt, row.tag) }))
@@ -319,7 +326,7 @@
       .map(({ row }) => row);
   }
 
-  /** The first in the order of endpoints that all boxes share for a prompt. */
+  /** The first endpoint in the order that all boxes share for a prompt. */
   private findBestRanked(rows: readonly EndpointRow[], prompt: string): EndpointRow | undefined {
     return pickLeast(rows, (row) => -this.options.hasher.h32(prompt, row.tag));
   }
@@ -334,7 +341,7 @@
   return { row, way, load: readFleetLoad(row), meanLoad, cacheSource };
 }
 
-/** Usable endpoints; if none is, those that are listed, since one of them may have come back. */
+/** Untried endpoints that are usable, or all untried ones if none is usable, since one of them may be back. */
 function listCandidates(
   live: readonly EndpointRow[],
   request: PlacementRequest,
--- a/packages/router/src/systems/plainPlacement.ts
+++ b/packages/router/src/systems/plainPlacement.ts
@@ -1,23 +1,25 @@
 /**
- * Chooses the endpoint of a request without a prompt: one of the own hall, unless it holds much more than others do.
+ * Chooses the endpoint of a request without a prompt: one of the box's own hall, unless its load is much higher than
+ * that of others.
  *
- * What a box knows of loads is older than such a request lasts, and all boxes know the same. If each took what looks
- * best, all would take the same endpoint until they hear otherwise. So only that part of the requests leaves an endpoint
- * which it has too many of, and those that leave are spread.
+ * Load information is older than such a request lasts, and it is the same at all boxes. If each box chose the least
+ * loaded endpoint, all would choose the same one until newer loads arrive. So only the excess share of an endpoint's
+ * requests is diverted, and it is spread over the others.
  */
 import { drawOne, divertIfOverloaded } from './drawEndpoint.js';
 import { readFleetLoad } from '../tables/endpointTable.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 
 /**
- * An endpoint of the own hall may hold this share of its slots more than the mean before requests leave it: answers from
- * another hall take longer, and bytes between halls are dear.
+ * Share of its slots by which an endpoint of the own hall may exceed the mean before requests are diverted: responses
+ * from another hall take longer, and traffic between halls is expensive.
  */
 const HALL_PREFERENCE = 0.34;
+
 /**
  * Chooses among endpoints that can take the request.
  *
- * @param random between 0 and 1
+ * @param random returns a number between 0 and 1
  * @example choosePlainEndpoint(rows, 'mixco', Math.random) // most often the row of mixco
  */
 export function choosePlainEndpoint(
@@ -31,7 +33,7 @@
   return divertIfOverloaded(first, rows, readUse, near.length > 0 ? HALL_PREFERENCE : 0, random);
 }
 
-/** Share of its slots in use if it takes one request more. */
+/** Share of its slots in use after one more request. */
 function readUse(row: EndpointRow): number {
   return (readFleetLoad(row) + 1) / Math.max(1, row.listing.slots);
 }
--- a/packages/router/src/systems/promptDemand.ts
+++ b/packages/router/src/systems/promptDemand.ts
@@ -1,97 +1,105 @@
 /**
- * How often the fleet is asked for each prompt. A box sees next to nothing of that itself: in a large fleet it may get
- * one request each three seconds of a prompt that all boxes are asked for all the time. So boxes tell what they were asked
- * for, and whoever hears it adds it up: in a small fleet every box, in a large one the speakers, who tell all which prompts
- * are hot. A hot prompt is spread over several endpoints at once: loads are up to a
- * second old, and in that time a single endpoint would get all of its requests.
+ * How often the fleet is asked for each prompt. A single box sees next to nothing of that: in a large fleet it may
+ * get one request every three seconds for a prompt that all boxes are asked for all the time. So boxes report their
+ * counts, and the receivers add them up: every box in a small fleet, and in a large one the aggregators, which send
+ * the hot prompts to all boxes. A hot prompt is spread over several endpoints at once: loads are up to a second old,
+ * and in that time a single endpoint would get all of its requests.
  */
 import { RecentReports, REPORT_TTL_MS } from './recentReports.js';
 import type { PairList } from './pairList.js';
 import { addPairs, readPairs } from './pairList.js';
 
-/** Requests a second from which a prompt is hot: several times what the most used of many prompts gets when none is. */
+/**
+ * Requests per second at which a prompt becomes hot: several times the rate of the most used of many prompts when
+ * none is hot.
+ */
 const HOT_PER_S = 6;
-/** How old loads are when the next ones come where no box is late; on busy machines they say themselves that they are older. */
-const LEAST_LOAD_AGE_MS = 1_000;
+/** Age of loads when the next ones arrive if no box is late. On busy machines the reported age is higher. */
+const MIN_LOAD_AGE_MS = 1_000;
 const MS_PER_S = 1_000;
-/** Requests for one prompt that an endpoint may get before its load is heard of: what the load cap leaves to the bound. */
-const REQUESTS_UNHEARD = 2;
-/** Periods over which a speaker counts; with two a second, as loads are told, a second. */
+/**
+ * Requests for one prompt that an endpoint may get before its load is reported: the margin between the load cap and
+ * the bound.
+ */
+const UNREPORTED_REQUESTS = 2;
+/** Periods that an aggregator adds up: one second at two load reports a second. */
 const COUNTED_PERIODS = 2;
-/** What is left of a prompt's demand each period when it falls: it cools down in some eight seconds. */
-const COOLING = 0.9;
-/** A hall tells others only of prompts asked for so often in a second: of most it is once. */
-const LEAST_TOLD = 2;
-/** Prompts in one list, the ones in most demand: half a kilobyte. */
-const MAX_TOLD = 64;
-
-/** What one box was asked for, and which prompts it knows to be hot. */
+/** Factor by which falling demand for a prompt decays each period: the prompt cools down in about eight seconds. */
+const COOLING_FACTOR = 0.9;
+/**
+ * A hall reports only prompts requested at least this often within a second to the others: most are requested once.
+ */
+const MIN_REPORTED_COUNT = 2;
+/** Prompts in one list, those in most demand: half a kilobyte. */
+const MAX_LISTED_PROMPTS = 64;
+
+/** Requests for prompts at one box, and the hot prompts reported to it. */
 export class PromptDemand {
   private readonly counts = new Map<number, number>();
   private hot = new Map<number, number>();
-  private learnedAtMs = -Infinity;
+  private hotUpdatedAtMs = -Infinity;
 
-  /** A request for a prompt came to this box. */
+  /** Counts a request for a prompt at this box. */
   recordRequest(prompt: number): void {
     this.counts.set(prompt, (this.counts.get(prompt) ?? 0) + 1);
   }
 
-  /** What came since the last call. */
+  /** Returns the counts since the last call and clears them. */
   takeCounts(): number[] {
-    const counts = mostWanted(this.counts);
+    const counts = listMostRequested(this.counts);
     this.counts.clear();
     return counts;
   }
 
-  /** A speaker names all hot prompts, with requests a second. */
+  /** Replaces the hot prompts and their requests per second by those of an aggregator. */
   setHotPrompts(hot: PairList, nowMs: number): void {
     this.hot = new Map(readPairs(hot));
-    this.learnedAtMs = nowMs;
+    this.hotUpdatedAtMs = nowMs;
   }
 
   /**
-   * Over how many endpoints a prompt is to be spread; 1 unless it is hot. The older loads are, as on busy machines, the
-   * more come to an endpoint before anybody hears of it.
+   * Number of endpoints over which a prompt is spread; 1 unless it is hot. The older loads are, as on busy machines,
+   * the more requests an endpoint gets before its load is reported.
    *
-   * @param loadAgeMs how old the oldest loads are that this box knows
+   * @param loadAgeMs age of the oldest load report of the other boxes
    */
   readSpreadWidth(prompt: number, nowMs: number, loadAgeMs: number): number {
-    const ageS = Math.max(LEAST_LOAD_AGE_MS, loadAgeMs) / MS_PER_S;
-    const perS = nowMs - this.learnedAtMs > REPORT_TTL_MS ? 0 : (this.hot.get(prompt) ?? 0);
-    return Math.max(1, Math.ceil((perS * ageS) / REQUESTS_UNHEARD));
+    const ageS = Math.max(MIN_LOAD_AGE_MS, loadAgeMs) / MS_PER_S;
+    const perS = nowMs - this.hotUpdatedAtMs > REPORT_TTL_MS ? 0 : (this.hot.get(prompt) ?? 0);
+    return Math.max(1, Math.ceil((perS * ageS) / UNREPORTED_REQUESTS));
   }
 }
 
-/** What a speaker adds up, and in a small fleet every box. */
+/** Adds up the demand for prompts, at an aggregator or, in a small fleet, at every box. */
 export class DemandAggregate {
   private readonly current = new Map<number, number>();
   private periods: PairList[] = [];
-  private hasNews = false;
+  private hasNewlyHot = false;
   private readonly halls = new RecentReports<PairList>();
   private hot = new Map<number, number>();
 
-  /** A box of the hall tells what it was asked for since it told last. */
+  /** Adds the counts of a box of the hall since its last report. */
   addBoxCounts(counts: PairList): void {
     for (const [prompt, count] of readPairs(counts)) {
-      const asked = (this.current.get(prompt) ?? 0) + count;
-      this.current.set(prompt, asked);
-      if (asked >= HOT_PER_S && !this.hot.has(prompt)) this.hasNews = true;
+      const total = (this.current.get(prompt) ?? 0) + count;
+      this.current.set(prompt, total);
+      if (total >= HOT_PER_S && !this.hot.has(prompt)) this.hasNewlyHot = true;
     }
   }
 
-  /** Whether a prompt became hot within this period, by what the own boxes were asked for; asked once. */
+  /** Whether a prompt became hot within this period by the counts of the own hall. Reading it clears it. */
   takeNewlyHot(): boolean {
-    const { hasNews } = this;
-    this.hasNews = false;
-    return hasNews;
+    const { hasNewlyHot } = this;
+    this.hasNewlyHot = false;
+    return hasNewlyHot;
   }
 
-  /** Takes what came in this period for enough to tell which prompts are hot. */
+  /** Updates the hot prompts from the counts so far, before the period ends. */
   updateHot(nowMs: number): void {
     this.hot = this.findHot(nowMs);
   }
 
-  /** Another hall tells what it was asked for within a second. */
+  /** Records the counts of another hall within a second. */
   setHallCounts(hall: string, counts: PairList, nowMs: number): void {
     this.halls.record(hall, counts, nowMs);
   }
@@ -103,19 +111,19 @@
     this.updateHot(nowMs);
   }
 
-  /** What the own hall was asked for within a second, as other halls are told. */
+  /** Counts of the own hall within a second, as reported to other halls. */
   listHallCounts(): number[] {
     const counts = new Map(readPairs(addPairs(this.listRecent())));
-    for (const [prompt, count] of counts) if (count < LEAST_TOLD) counts.delete(prompt);
-    return mostWanted(counts);
+    for (const [prompt, count] of counts) if (count < MIN_REPORTED_COUNT) counts.delete(prompt);
+    return listMostRequested(counts);
   }
 
-  /** Prompts that are hot in the whole fleet, with requests a second. */
+  /** Hot prompts of the whole fleet, with requests per second. */
   listHot(): number[] {
-    return mostWanted(this.hot);
+    return listMostRequested(this.hot);
   }
 
-  /** What the own boxes were asked for in the last periods, the one under way being one of them. */
+  /** Counts of the own hall in the last periods, including the current one. */
   private listRecent(): PairList[] {
     return this.current.size === 0 ? this.periods : this.addCurrent();
   }
@@ -124,24 +132,24 @@
     return [...this.periods, [...this.current].flat()].slice(-COUNTED_PERIODS);
   }
 
-  /** A prompt counts as hot at once, and cools down slowly: a lull between bursts does not move it back. */
+  /** A prompt becomes hot at once and cools down slowly, so that a lull between bursts does not move it back. */
   private findHot(nowMs: number): Map<number, number> {
     const lists = [...this.listRecent(), ...this.halls.listRecent(nowMs).map(({ value }) => value)];
-    const wanted = new Map(readPairs(addPairs(lists)));
+    const demand = new Map(readPairs(addPairs(lists)));
     const hot = new Map<number, number>();
     for (const [prompt, perS] of this.hot) {
-      const cooled = perS * COOLING;
+      const cooled = perS * COOLING_FACTOR;
       if (cooled >= HOT_PER_S) hot.set(prompt, cooled);
     }
-    for (const [prompt, perS] of wanted) {
+    for (const [prompt, perS] of demand) {
       if (perS >= Math.max(HOT_PER_S, hot.get(prompt) ?? 0)) hot.set(prompt, perS);
     }
     return hot;
   }
 }
 
-function mostWanted(counts: ReadonlyMap<number, number>): number[] {
+function listMostRequested(counts: ReadonlyMap<number, number>): number[] {
   const pairs = [...counts];
-  if (pairs.length > MAX_TOLD) pairs.sort(([, a], [, b]) => b - a);
-  return pairs.slice(0, MAX_TOLD).flat();
+  if (pairs.length > MAX_LISTED_PROMPTS) pairs.sort(([, a], [, b]) => b - a);
+  return pairs.slice(0, MAX_LISTED_PROMPTS).flat();
 }
--- a/packages/router/src/systems/promptHolders.ts
+++ b/packages/router/src/systems/promptHolders.ts
@@ -1,47 +1,52 @@
 /**
- * Which endpoints hold which prompts, as far as the boxes know: each notes where it sends a prompt, and tells the others
- * what they may not know. A belief, never a promise: an endpoint may have forgotten a prompt or lost it in a crash.
+ * Records which endpoints hold which prompts. Each box records where it sends a prompt, and reports holders that the
+ * others may lack. A record is no guarantee: an endpoint may have evicted a prompt or lost it in a crash.
  */
 
-/** A prompt and an endpoint that holds it, in turn, each as a 32-bit number. */
+/** Alternating prompts and tags of endpoints that hold them, each a 32-bit number. */
 export type HolderList = readonly number[];
 
-/** Prompts that are remembered; the one used longest ago gives way. */
+/** Prompts that are recorded; the least recently used one is evicted. */
 const MAX_PROMPTS = 16_384;
-/** Endpoints that are remembered for one prompt: its home, one that stands in for it, and one that was left. */
+/** Holders recorded for one prompt: its preferred endpoint, one that replaces it, and a former one. */
 export const MAX_HOLDERS = 3;
-/** Pairs that wait to be told; in a rush the oldest are left out, since others learn them when they need them. */
-const MAX_UNTOLD_PAIRS = 4_096;
+/**
+ * Pairs that wait to be sent. In a burst the oldest are dropped, since other boxes learn them when they need them.
+ */
+const MAX_UNSENT_PAIRS = 4_096;
 
-/** What one box knows of the homes of prompts. */
+/** Holders of prompts, as recorded by one box. */
 export class PromptHolders {
-  /** Tags of endpoints by prompt, the one noted last at the end. The prompt used last is the last of the map. */
+  /**
+   * Tags of endpoints by prompt, the last recorded at the end. The most recently used prompt is the last of the map.
+   */
   private readonly holders = new Map<number, readonly number[]>();
-  private untold: number[] = [];
+  private unsent: number[] = [];
 
-  /** Tags of the endpoints that hold a prompt, as far as known. */
+  /** Tags of the known holders of a prompt. */
   list(prompt: number): readonly number[] {
     return this.holders.get(prompt) ?? [];
   }
 
-  /** This box sends a prompt to an endpoint. */
+  /** Records that this box sends a prompt to an endpoint. */
   record(prompt: number, tag: number): void {
-    if (!this.remember(prompt, tag)) return;
-    this.untold.push(prompt, tag);
-    if (this.untold.length > 2 * MAX_UNTOLD_PAIRS) this.untold = this.untold.slice(-2 * MAX_UNTOLD_PAIRS);
+    if (!this.addHolder(prompt, tag)) return;
+    this.unsent.push(prompt, tag);
+    if (this.unsent.length > 2 * MAX_UNSENT_PAIRS) this.unsent = this.unsent.slice(-2 * MAX_UNSENT_PAIRS);
   }
 
-  /** Other boxes tell which endpoints hold which prompts. */
-  addReported(homes: HolderList): void {
-    for (let at = 0; at + 1 < homes.length; at += 2) this.remember(homes[at] ?? 0, homes[at + 1] ?? 0);
+  /** Adds holders that other boxes reported. */
+  addReported(reported: HolderList): void {
+    for (let at = 0; at + 1 < reported.length; at += 2)
+      this.addHolder(reported[at] ?? 0, reported[at + 1] ?? 0);
   }
 
-  /** What this box noted and has not told yet, so many pairs at most; afterwards it counts as told. */
+  /** Returns and clears up to this many pairs that this box has recorded and not sent yet. */
   takeUnsent(maxPairs: number): number[] {
-    return this.untold.splice(0, 2 * maxPairs);
+    return this.unsent.splice(0, 2 * maxPairs);
   }
 
-  /** What is known, the prompts used last first, for a box that just came up or was cut off. */
+  /** Holders of the most recently used prompts first, for a box that just came up or was cut off. */
   listRecent(maxPairs: number): number[] {
     const pairs: number[] = [];
     for (const [prompt, tags] of [...this.holders].reverse()) {
@@ -56,8 +61,8 @@
     return this.holders.size;
   }
 
-  /** Notes a holder; false if it was known. */
-  private remember(prompt: number, tag: number): boolean {
+  /** Adds a holder; returns false if it was known. */
+  private addHolder(prompt: number, tag: number): boolean {
     const known = this.holders.get(prompt);
     this.holders.delete(prompt);
     if (known?.includes(tag) === true) {
@@ -65,11 +70,11 @@
       return false;
     }
     this.holders.set(prompt, [...(known ?? []), tag].slice(-MAX_HOLDERS));
-    if (this.holders.size > MAX_PROMPTS) this.forgetOldest();
+    if (this.holders.size > MAX_PROMPTS) this.evictOldest();
     return true;
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     const oldest = this.holders.keys().next().value;
     if (oldest !== undefined) this.holders.delete(oldest);
   }
--- a/packages/router/src/systems/recentReports.ts
+++ b/packages/router/src/systems/recentReports.ts
@@ -1,33 +1,36 @@
-/** Loads and demand that others tell twice a second. What was not renewed for several periods counts for nothing. */
+/**
+ * Time to live of reports. Boxes report loads and demand twice a second, so a report that was not renewed for several
+ * periods no longer counts.
+ */
 export const REPORT_TTL_MS = 3_000;
 
-/** What a teller said, and when. */
+/** A report and the time of its arrival. */
 export interface Report<T> {
   readonly value: T;
   readonly receivedAtMs: number;
 }
 
-/** The last that each of several tellers said; it counts for a limited time. */
+/** The latest report of each reporter. Reports expire after a limited time. */
 export class RecentReports<T> {
-  private readonly byTeller = new Map<string, Report<T>>();
+  private readonly byReporter = new Map<string, Report<T>>();
 
-  /** Takes over what a teller said. */
-  record(teller: string, value: T, nowMs: number): void {
-    this.byTeller.set(teller, { value, receivedAtMs: nowMs });
+  /** Records a report, which replaces the previous one of the same reporter. */
+  record(reporter: string, value: T, nowMs: number): void {
+    this.byReporter.set(reporter, { value, receivedAtMs: nowMs });
   }
 
   /**
-   * What still counts.
+   * Lists the reports that have not expired.
    *
    * @example
-   * const book = new FreshBook<string>();
-   * book.note('box-1', 'news', 0);
-   * book.listFresh(TOLD_LIFE_MS + 1); // []
+   * const reports = new RecentReports<string>();
+   * reports.record('box-1', 'report', 0);
+   * reports.listRecent(REPORT_TTL_MS + 1); // []
    */
   listRecent(nowMs: number): Report<T>[] {
-    for (const [teller, { receivedAtMs: heardAtMs }] of this.byTeller) {
-      if (nowMs - heardAtMs > REPORT_TTL_MS) this.byTeller.delete(teller);
+    for (const [reporter, { receivedAtMs }] of this.byReporter) {
+      if (nowMs - receivedAtMs > REPORT_TTL_MS) this.byReporter.delete(reporter);
     }
-    return [...this.byTeller.values()];
+    return [...this.byReporter.values()];
   }
 }
