--- a/packages/router/src/systems/gracefulShutdown.ts
+++ b/packages/router/src/systems/gracefulShutdown.ts
@@ -1,29 +1,32 @@
-/** A planned stop: the box takes callers until the platform sends no more, and ends when the last one has its answer. */
+/**
+ * Graceful shutdown: the box accepts callers until the platform sends no more, and stops when the last one has its
+ * response.
+ */
 import type { DecisionLog } from '../observability/decisionLog.js';
 
 /**
- * After a stop is requested callers are still sent here until the platform has noticed: two checks, a second apart.
- * Later connections are refused, also where the platform goes on for lack of other boxes: work that begins now could
- * not be finished.
+ * After a stop is requested, callers are still sent here until the platform has detected it, which takes two checks,
+ * a second apart. Later connections are refused, even if the platform keeps sending callers for lack of other boxes:
+ * requests accepted now could not be finished.
  */
 const STOP_LINGER_MS = 2_300;
-/** A stopping box ends this long before it would be killed. */
+/** A box that is shutting down stops this long before it would be killed. */
 const STOP_MARGIN_MS = 500;
 
-/** What a planned stop works with. */
+/** Settings, dependencies and callbacks of the shutdown. */
 export interface GracefulShutdownOptions {
   readonly now: () => number;
   readonly log: DecisionLog;
   /** The process is killed this long after the stop was requested. */
   readonly graceMs: number;
-  /** Requests under way. */
+  /** Number of requests in flight. */
   readonly countExchanges: () => number;
-  /** Refuses later connections of callers. */
+  /** Refuses new connections of callers. */
   readonly stopAccepting: () => void;
   readonly onStopped: () => void;
 }
 
-/** The stop of one box. */
+/** The shutdown of one box. */
 export class GracefulShutdown {
   private requestedAtMs: number | undefined;
 
@@ -33,7 +36,7 @@
     return this.requestedAtMs !== undefined;
   }
 
-  /** Begins the stop; does nothing if it has begun. */
+  /** Starts the shutdown; does nothing if it has started. */
   request(): void {
     if (this.isInProgress) return;
     const { now, log, countExchanges } = this.options;
@@ -44,11 +47,11 @@
   /** Runs once a tick. */
   tick(): void {
     if (this.requestedAtMs === undefined) return;
-    const { now, graceMs, countExchanges, stopAccepting: refuseNew, onStopped } = this.options;
-    const stoppingMs = now() - this.requestedAtMs;
-    if (stoppingMs < STOP_LINGER_MS) return;
-    refuseNew();
-    const isLate = stoppingMs >= graceMs - STOP_MARGIN_MS;
+    const { now, graceMs, countExchanges, stopAccepting, onStopped } = this.options;
+    const elapsedMs = now() - this.requestedAtMs;
+    if (elapsedMs < STOP_LINGER_MS) return;
+    stopAccepting();
+    const isLate = elapsedMs >= graceMs - STOP_MARGIN_MS;
     if (countExchanges() === 0 || isLate) onStopped();
   }
 }
--- a/packages/router/src/systems/retryBudget.ts
+++ b/packages/router/src/systems/retryBudget.ts
@@ -1,23 +1,26 @@
 /**
- * The budget for sending requests again. The fleet as a whole may send again a share of the requests of a service in a
- * sliding window, plus a fixed number; each box takes its own requests' share and an equal part of the fixed number,
- * so that all boxes together stay below the bound also while they disagree about how many they are.
+ * Budget for retries. The fleet as a whole may retry a share of the requests of a service in a sliding window, plus a
+ * constant. Each box uses the share of its own requests and an equal part of the constant, so that all boxes together
+ * stay within the bound even while they disagree about their number.
  */
 
-/** The fleet's bound for each service. */
+/** Bound on the retries of the whole fleet, for each service. */
 export interface RetryBound {
-  /** Requests sent again for each request. */
+  /** Retries per request. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Requests sent again on top, in one window, by all boxes together. */
+  /** Additional retries of all boxes together in one window. */
   readonly extra: number;
 }
 
-/** Part of the bound that is used; the rest covers restarts and boxes that are not known yet. */
+/** Share of the bound that is used; the rest covers restarts and boxes that are not discovered yet. */
 const USED_SHARE = 0.75;
-/** Slots into which the window is cut; the oldest slot is dropped as time passes. */
+/** Slots into which the window is divided; the oldest is dropped as time passes. */
 const SLOTS = 10;
-/** A box that just started does not know how many others there are, nor what its former run spent. */
+/**
+ * Time after its start in which a box gets no part of the constant: it has neither discovered all other boxes nor
+ * kept a record of what its previous run has used.
+ */
 const SETTLE_MS = 5_000;
 
 interface Slot {
@@ -26,7 +29,7 @@
   retries: number;
 }
 
-/** What one box may spend, by service. */
+/** Retries that one box may make, by service. */
 export class RetryBudget {
   private readonly slotsByService = new Map<string, Slot[]>();
   private readonly slotMs: number;
@@ -39,12 +42,12 @@
     this.slotMs = bound.windowMs / SLOTS;
   }
 
-  /** Notes a request of a caller. */
+  /** Records a request of a caller. */
   recordRequest(service: string, nowMs: number): void {
     this.currentSlot(service, nowMs).requests += 1;
   }
 
-  /** Takes one from the budget; false if it is spent. */
+  /** Takes one retry from the budget; false if it is exhausted. */
   take(service: string, nowMs: number): boolean {
     const current = this.currentSlot(service, nowMs);
     const slots = this.slotsByService.get(service) ?? [];
--- a/packages/router/src/systems/routeIndex.ts
+++ b/packages/router/src/systems/routeIndex.ts
@@ -1,9 +1,10 @@
 /**
- * Finds what a request is for: the route by host and longest path prefix, the team by key, the service by weight.
+ * Matches requests to the configuration: the route by host and longest path prefix, the team by API key, the service
+ * by weight.
  */
 import type { FleetConfiguration, Route, RouteTarget, Service, Team } from '../records.js';
 
-/** What a request is for, or why it is refused. */
+/** Route and team of a request, or why it is refused. */
 export type RouteMatch =
   | {
       readonly type: 'routed';
@@ -65,7 +66,7 @@
 const HASH_RANGE = 2 ** 32;
 
 /**
- * Picks a target by its weight. The same hash picks the same target, so that requests which share a prompt stay
+ * Picks a target by its weight. The same hash picks the same target, so that requests with the same prompt stay
  * together.
  *
  * @example pickTarget([{ service: 'a', weight: 9 }, { service: 'b', weight: 1 }], 0) // 'a'
