--- a/packages/router/src/quarantine/__fixtures__/virtualCrashes.ts
+++ b/packages/router/src/quarantine/__fixtures__/virtualCrashes.ts
@@ -1,17 +1,17 @@
-/** A virtual fleet whose callers send requests that crash the endpoint that runs them; boxes tell each other as they ship. */
+/** A virtual fleet, with the production quarantine code, whose callers send requests that crash their endpoints. */
 import { createHasher } from '@hazelwalk/core';
 import { createRandom, drawExponential } from '@hazelwalk/standins';
 import type { VirtualBox, VirtualProgram } from '../../membership/__fixtures__/virtualFleet.js';
 import { VirtualFleet } from '../../membership/__fixtures__/virtualFleet.js';
 import type { RouterFrame } from '../../peers/peerFrames.js';
 import type { PeerMesh } from '../../peers/peerMesh.js';
-import { QUARANTINE_THRESHOLD, Quarantine } from '../quarantine.js';
+import { Quarantine, QUARANTINE_THRESHOLD } from '../quarantine.js';
 import type { CrashSnapshot, QuarantineRelayOptions } from '../quarantineRelay.js';
 import { QuarantineRelay } from '../quarantineRelay.js';
 
-/** From sending a request until its endpoint crashes: a wait in its queue, and a run. */
-const LEAST_RUN_MS = 60;
-const MEAN_WAIT_MS = 150;
+/** Least time from sending a request until its endpoint crashes, and the mean of the time that it is queued besides. */
+const MIN_RUN_MS = 60;
+const MEAN_QUEUE_MS = 150;
 const MS_PER_S = 1_000;
 
 class CrashProgram implements VirtualProgram {
@@ -45,11 +45,11 @@
   }
 }
 
-/** What a crashing request did. */
+/** Crashes and sends of one request. */
 interface Tally {
   crashes: number;
-  /** When the third endpoint crashed. */
-  condemnedAtMs: number | undefined;
+  /** Time of the crash that reaches the quarantine threshold. */
+  thirdCrashAtMs: number | undefined;
   readonly sentAtMs: number[];
 }
 
@@ -65,7 +65,7 @@
     private readonly random: () => number,
   ) {}
 
-  /** Creates a fleet whose boxes have met. */
+  /** Creates a fleet whose boxes are connected. */
   static async create(boxes: number, halls: number, seed: number): Promise<VirtualCrashes> {
     const hasher = await createHasher();
     const crashes = new VirtualCrashes((address) => hasher.h32(address), createRandom(seed + 1));
@@ -76,70 +76,70 @@
     return crashes;
   }
 
-  /** Callers send this request from now on, so many times a second, to boxes drawn at random. */
-  keepSending(content: string, perS: number): void {
+  /** Sends a request from now on at an average rate, to boxes drawn at random. */
+  keepSending(fingerprint: string, perS: number): void {
     this.fleet.timeline.after(drawExponential(this.random, MS_PER_S / perS), () => {
       const boxes = this.fleet.listRunning();
       const box = boxes[Math.floor(this.random() * boxes.length)];
-      if (box !== undefined) this.sendAt(box, content);
-      this.keepSending(content, perS);
+      if (box !== undefined) this.sendAt(box, fingerprint);
+      this.keepSending(fingerprint, perS);
     });
   }
 
-  /** A caller sends the request to a box; true if the box sends it to an endpoint. */
-  sendAt(box: VirtualBox, content: string): boolean {
+  /** Sends a request to a box; returns true if the box sends it to an endpoint. */
+  sendAt(box: VirtualBox, fingerprint: string): boolean {
     const { quarantine } = this.findProgram(box);
-    if (quarantine.readRemainingMs(content) > 0) return false;
+    if (quarantine.readRemainingMs(fingerprint) > 0) return false;
     const { timeline } = this.fleet;
-    const judgedInMs = quarantine.readDecisionDelayMs(content);
-    if (judgedInMs > 0) {
-      timeline.after(judgedInMs, () => this.sendAt(box, content));
+    const decisionDelayMs = quarantine.readDecisionDelayMs(fingerprint);
+    if (decisionDelayMs > 0) {
+      timeline.after(decisionDelayMs, () => this.sendAt(box, fingerprint));
       return false;
     }
     const sentAtMs = timeline.nowMs;
-    const tally = this.findTally(content);
+    const tally = this.findTally(fingerprint);
     tally.sentAtMs.push(sentAtMs);
     const endpointTag = (this.nextEndpointTag += 1);
-    timeline.after(LEAST_RUN_MS + drawExponential(this.random, MEAN_WAIT_MS), () => {
+    timeline.after(MIN_RUN_MS + drawExponential(this.random, MEAN_QUEUE_MS), () => {
       tally.crashes += 1;
-      if (tally.crashes === QUARANTINE_THRESHOLD) tally.condemnedAtMs = timeline.nowMs;
-      const isThere = this.fleet.network.readMachine(box.address).state === 'running';
-      if (!isThere) return;
+      if (tally.crashes === QUARANTINE_THRESHOLD) tally.thirdCrashAtMs = timeline.nowMs;
+      const isRunning = this.fleet.network.readMachine(box.address).state === 'running';
+      if (!isRunning) return;
       const { relay } = this.findProgram(box);
-      relay.recordCrash(content, { endpointTag, sentAtMs, endedAtMs: timeline.nowMs });
+      relay.recordCrash(fingerprint, { endpointTag, sentAtMs, endedAtMs: timeline.nowMs });
     });
     return true;
   }
 
-  /** Times that the request was sent to an endpoint later than this after it had crashed the third. */
-  countSentAfter(content: string, ms: number): number {
-    const { condemnedAtMs, sentAtMs } = this.findTally(content);
-    if (condemnedAtMs === undefined)
-      throw new Error(`${content} has not crashed ${QUARANTINE_THRESHOLD} endpoints`);
-    return sentAtMs.filter((atMs) => atMs > condemnedAtMs + ms).length;
+  /** How often a request was sent to an endpoint later than this after its third crash. */
+  countSentAfter(fingerprint: string, ms: number): number {
+    const { thirdCrashAtMs, sentAtMs } = this.findTally(fingerprint);
+    if (thirdCrashAtMs === undefined)
+      throw new Error(`${fingerprint} has not crashed ${QUARANTINE_THRESHOLD} endpoints`);
+    return sentAtMs.filter((atMs) => atMs > thirdCrashAtMs + ms).length;
   }
 
-  /** Endpoints that the request crashed. */
-  countCrashes(content: string): number {
-    return this.findTally(content).crashes;
+  /** Number of endpoints that a request crashed. */
+  countCrashes(fingerprint: string): number {
+    return this.findTally(fingerprint).crashes;
   }
 
-  /** How long after the third crash the request was last sent to an endpoint. */
-  readLastSendMs(content: string): number {
-    const { condemnedAtMs = 0, sentAtMs } = this.findTally(content);
-    return Math.max(0, (sentAtMs.at(-1) ?? 0) - condemnedAtMs);
+  /** How long after its third crash a request was last sent to an endpoint. */
+  readLastSendMs(fingerprint: string): number {
+    const { thirdCrashAtMs = 0, sentAtMs } = this.findTally(fingerprint);
+    return Math.max(0, (sentAtMs.at(-1) ?? 0) - thirdCrashAtMs);
   }
 
-  /** Boxes that do not know yet that a request is not to be sent. */
-  countUnaware(content: string): number {
+  /** Number of running boxes at which a request is not in quarantine. */
+  countSending(fingerprint: string): number {
     return this.fleet
       .listRunning()
-      .filter((box) => this.findProgram(box).quarantine.readRemainingMs(content) === 0).length;
+      .filter((box) => this.findProgram(box).quarantine.readRemainingMs(fingerprint) === 0).length;
   }
 
-  /** An endpoint answers the request whole, by way of this box. */
-  answerAt(box: VirtualBox, content: string): void {
-    this.findProgram(box).relay.recordSuccess(content);
+  /** Records a complete response to a request at a box. */
+  completeAt(box: VirtualBox, fingerprint: string): void {
+    this.findProgram(box).relay.recordSuccess(fingerprint);
   }
 
   private createProgram(box: VirtualBox, mesh: PeerMesh): VirtualProgram {
@@ -156,11 +156,11 @@
     return program;
   }
 
-  private findTally(content: string): Tally {
-    let tally = this.tallies.get(content);
+  private findTally(fingerprint: string): Tally {
+    let tally = this.tallies.get(fingerprint);
     if (tally === undefined) {
-      tally = { crashes: 0, condemnedAtMs: undefined, sentAtMs: [] };
-      this.tallies.set(content, tally);
+      tally = { crashes: 0, thirdCrashAtMs: undefined, sentAtMs: [] };
+      this.tallies.set(fingerprint, tally);
     }
     return tally;
   }
--- a/packages/router/src/quarantine/__tests__/lateCrashReports.test.ts
+++ b/packages/router/src/quarantine/__tests__/lateCrashReports.test.ts
@@ -1,17 +1,20 @@
-/** Guards against a fourth crash by a request whose first crashes a box was told of late. */
+/**
+ * Guards against a fourth crash: a request crashed two endpoints, and the box that sends it for the third time received the
+ * reports of these crashes late.
+ */
 import type { CrashReports, Heartbeat } from '../../peers/peerFrames.js';
 import { DECISION_DELAY_MS, Quarantine } from '../quarantine.js';
 import type { CrashReportDelays } from '../quarantineRelay.js';
 import { QuarantineRelay } from '../quarantineRelay.js';
 
 const HALL = 'mixco';
-const CONTENT = 'crashing request';
-/** Longer than times told by two boxes are in doubt. */
-const NEWS_DELAY_MS = 800;
+const FINGERPRINT = 'crashing request';
+/** Longer than the margin for comparing times that two boxes reported. */
+const REPORT_DELAY_MS = 800;
 
 let nowMs: number;
 
-/** A box with a rank in its hall and a link to one peer. */
+/** A box with a rank in its hall and links to three peers. */
 class Box {
   readonly sent: CrashReports[] = [];
   readonly delays: CrashReportDelays[] = [];
@@ -21,12 +24,12 @@
   );
   readonly relay: QuarantineRelay;
 
-  constructor(rank: number, isFlat: boolean) {
+  constructor(rank: number, isFullMesh: boolean) {
     const peers = [1, 2, 3].map((peer) => ({ address: String(peer), hall: HALL }) as Heartbeat);
     this.relay = new QuarantineRelay({
       mesh: {
         address: String(rank),
-        isFullMesh: isFlat,
+        isFullMesh,
         listReachable: () => peers,
         sendToEach: (_addresses, frame) => this.sent.push(frame as CrashReports),
       },
@@ -42,7 +45,7 @@
   crash(endpointTag: number): void {
     const sentAtMs = nowMs;
     nowMs += 50;
-    this.relay.recordCrash(CONTENT, { endpointTag, sentAtMs, endedAtMs: nowMs });
+    this.relay.recordCrash(FINGERPRINT, { endpointTag, sentAtMs, endedAtMs: nowMs });
   }
 
   takeSent(): CrashReports[] {
@@ -55,28 +58,28 @@
 });
 
 test.each([true, false])(
-  'a box that runs a request after late news of two crashes holds it back after the third, and tells (small fleet: %s)',
-  (isFlat) => {
-    const first = new Box(1, isFlat);
-    const last = new Box(4, isFlat);
+  'a box that sends a request after late reports of two crashes quarantines it after the third, and reports it (full mesh: %s)',
+  (isFullMesh) => {
+    const first = new Box(1, isFullMesh);
+    const last = new Box(4, isFullMesh);
     first.crash(1);
     first.crash(2);
     first.relay.tick();
-    nowMs += NEWS_DELAY_MS;
+    nowMs += REPORT_DELAY_MS;
     for (const frame of first.takeSent()) last.relay.handleCrashReports(frame);
     nowMs += 10;
     last.crash(3);
-    expect(last.quarantine.readDecisionDelayMs(CONTENT)).toBeGreaterThan(0);
+    expect(last.quarantine.readDecisionDelayMs(FINGERPRINT)).toBeGreaterThan(0);
     nowMs += DECISION_DELAY_MS;
     last.takeSent();
     last.relay.tick();
-    expect(last.quarantine.readRemainingMs(CONTENT)).toBeGreaterThan(0);
-    const verdicts = last.takeSent().flatMap(({ condemned }) => condemned);
-    expect(verdicts).toEqual([expect.objectContaining({ content: CONTENT })]);
+    expect(last.quarantine.readRemainingMs(FINGERPRINT)).toBeGreaterThan(0);
+    const reported = last.takeSent().flatMap(({ condemned }) => condemned);
+    expect(reported).toEqual([expect.objectContaining({ content: FINGERPRINT })]);
   },
 );
 
-test('the delay of news is told apart from the time that its sender held it', () => {
+test('the delay of a report is measured apart from the time for which its sender held it', () => {
   const first = new Box(1, true);
   const last = new Box(4, true);
   first.crash(1);
@@ -85,10 +88,10 @@
   first.crash(2);
   nowMs += 30;
   first.relay.tick();
-  nowMs += NEWS_DELAY_MS;
+  nowMs += REPORT_DELAY_MS;
   for (const frame of first.takeSent()) last.relay.handleCrashReports(frame);
   expect(last.delays.map(({ heldMs, delayMs }) => ({ heldMs, delayMs }))).toEqual([
     { heldMs: 0, delayMs: 0 },
-    { heldMs: 30, delayMs: NEWS_DELAY_MS },
+    { heldMs: 30, delayMs: REPORT_DELAY_MS },
   ]);
 });
--- a/packages/router/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/router/src/quarantine/__tests__/quarantine.test.ts
@@ -1,6 +1,6 @@
 import type { CrashedRun } from '../crashedRuns.js';
 import type { QuarantineChange } from '../quarantine.js';
-import { QUARANTINE_THRESHOLD, DECISION_DELAY_MS, Quarantine, QUARANTINE_MS } from '../quarantine.js';
+import { DECISION_DELAY_MS, Quarantine, QUARANTINE_MS, QUARANTINE_THRESHOLD } from '../quarantine.js';
 
 const FLOOD = 100_000;
 
@@ -13,18 +13,18 @@
   changes = [];
   quarantine = new Quarantine(
     () => nowMs,
-    (_content, change) => changes.push(change),
+    (_fingerprint, change) => changes.push(change),
   );
 });
 
-function crash(content: string, endpointTag: number): boolean {
+function crash(fingerprint: string, endpointTag: number): boolean {
   nowMs += 100;
-  return noteCrashNow(content, endpointTag);
+  return recordCrashNow(fingerprint, endpointTag);
 }
 
-/** A run of 100 ms that ends now with an endpoint. */
-function noteCrashNow(content: string, endpointTag = 1): boolean {
-  return quarantine.recordCrash(content, {
+/** Records a run of 100 ms that ends now, when its endpoint crashes. */
+function recordCrashNow(fingerprint: string, endpointTag = 1): boolean {
+  return quarantine.recordCrash(fingerprint, {
     endpointTag,
     sentAtMs: nowMs - 100,
     endedAtMs: nowMs,
@@ -33,68 +33,68 @@
   });
 }
 
-function crashSeveral(content: string, times: number): void {
-  for (let at = 0; at < times; at += 1) crash(content, at);
+function crashSeveral(fingerprint: string, times: number): void {
+  for (let at = 0; at < times; at += 1) crash(fingerprint, at);
 }
 
-function awaitJudgement(): void {
+function awaitDecision(): void {
   nowMs += DECISION_DELAY_MS;
   quarantine.tick();
 }
 
-function condemn(content: string): void {
-  crashSeveral(content, QUARANTINE_THRESHOLD);
-  awaitJudgement();
+function putInQuarantine(fingerprint: string): void {
+  crashSeveral(fingerprint, QUARANTINE_THRESHOLD);
+  awaitDecision();
 }
 
-test('the third crash condemns, no earlier one does', () => {
+test('the third crash quarantines a request, no earlier one does', () => {
   crashSeveral('a', QUARANTINE_THRESHOLD - 1);
-  awaitJudgement();
+  awaitDecision();
   expect(quarantine.readRemainingMs('a')).toBe(0);
   expect(quarantine.mustPlaceRandomly('a')).toBe(true);
   crash('a', 9);
   expect(quarantine.readDecisionDelayMs('a')).toBe(DECISION_DELAY_MS);
-  awaitJudgement();
+  awaitDecision();
   expect(quarantine.readRemainingMs('a')).toBe(QUARANTINE_MS - DECISION_DELAY_MS);
   expect(quarantine.readRemainingMs('b')).toBe(0);
   expect(changes).toEqual(['suspected', 'suspected', 'suspected', 'quarantined']);
 });
 
-test('crashes do not count that another request explains, which has met more', () => {
+test('a crash does not count if another request in flight there has had more crashes', () => {
   for (const tag of [1, 2, 3]) {
-    crash('guilty', tag);
-    noteCrashNow('beside', tag);
+    crash('at-fault', tag);
+    recordCrashNow('bystander', tag);
   }
-  crash('guilty', 4);
-  awaitJudgement();
-  expect(quarantine.readRemainingMs('guilty')).toBeGreaterThan(0);
-  expect(quarantine.readRemainingMs('beside')).toBe(0);
-  crash('beside', 5);
-  crash('beside', 6);
-  awaitJudgement();
-  expect(quarantine.readRemainingMs('beside')).toBe(0);
+  crash('at-fault', 4);
+  awaitDecision();
+  expect(quarantine.readRemainingMs('at-fault')).toBeGreaterThan(0);
+  expect(quarantine.readRemainingMs('bystander')).toBe(0);
+  crash('bystander', 5);
+  crash('bystander', 6);
+  awaitDecision();
+  expect(quarantine.readRemainingMs('bystander')).toBe(0);
 });
 
-test('two guilty ones that always come together are condemned in the end', () => {
+test('two requests at fault that always arrive together are quarantined in the end', () => {
   for (const tag of [1, 2, 3, 4, 5, 6]) {
     crash('a', tag);
-    noteCrashNow('b', tag);
-    awaitJudgement();
+    recordCrashNow('b', tag);
+    awaitDecision();
   }
   expect(quarantine.readRemainingMs('a')).toBeGreaterThan(0);
   expect(quarantine.readRemainingMs('b')).toBeGreaterThan(0);
 });
 
-test('a whole answer clears a request, whatever was known', () => {
-  condemn('a');
+test('a complete response clears a request, whatever was recorded', () => {
+  putInQuarantine('a');
   expect(quarantine.recordSuccess('a')).toBe(true);
   expect(quarantine.readRemainingMs('a')).toBe(0);
   expect(quarantine.isEmpty).toBe(true);
   expect(quarantine.recordSuccess('a')).toBe(false);
 });
 
-test('a verdict ends, and then one crash is enough', () => {
-  condemn('a');
+test('a quarantine expires, and then one crash is enough', () => {
+  putInQuarantine('a');
   nowMs += QUARANTINE_MS;
   quarantine.tick();
   expect(quarantine.readRemainingMs('a')).toBe(0);
@@ -103,14 +103,14 @@
   expect(quarantine.readRemainingMs('a')).toBeGreaterThan(0);
 });
 
-test('a crash after the verdict, of a copy that was under way, makes it last longer', () => {
-  condemn('a');
+test('a crash during the quarantine, by a copy that was in flight, extends it', () => {
+  putInQuarantine('a');
   nowMs += 400;
   crash('a', 9);
   expect(quarantine.readRemainingMs('a')).toBe(QUARANTINE_MS);
 });
 
-test('the verdict of another box counts like an own one', () => {
+test('a quarantine reported by another box counts like a local one', () => {
   crash('a', 1);
   expect(quarantine.recordRemoteQuarantine('a', nowMs - 500)).toBe(true);
   expect(quarantine.recordRemoteQuarantine('a', nowMs - 500)).toBe(false);
@@ -120,8 +120,8 @@
   expect(quarantine.recordRemoteQuarantine('b', nowMs - QUARANTINE_MS)).toBe(false);
 });
 
-test('news of an earlier crash do not shorten a verdict', () => {
-  condemn('a');
+test('the report of an earlier crash does not shorten a quarantine', () => {
+  putInQuarantine('a');
   const before = quarantine.readRemainingMs('a');
   const earlier: CrashedRun = {
     endpointTag: 99,
@@ -134,27 +134,27 @@
   expect(quarantine.readRemainingMs('a')).toBe(before);
 });
 
-test('a suspicion that is not renewed is forgotten', () => {
+test('a record without further crashes expires', () => {
   crashSeveral('a', 1);
   nowMs += QUARANTINE_MS;
   quarantine.tick();
   expect(quarantine.isEmpty).toBe(true);
 });
 
-test('a flood of requests that each meet a crash pushes out neither the condemned nor those seen twice', () => {
-  condemn('a');
+test('a flood of requests with one crash each evicts neither quarantined requests nor those with two crashes', () => {
+  putInQuarantine('a');
   crashSeveral('b', QUARANTINE_THRESHOLD - 1);
   for (let at = 0; at < FLOOD; at += 1) {
-    noteCrashNow(`flood-${at}`);
+    recordCrashNow(`flood-${at}`);
   }
   expect(quarantine.readRemainingMs('a')).toBeGreaterThan(0);
   expect(quarantine.mustPlaceRandomly('b')).toBe(true);
   expect(quarantine.isSuspected(`flood-${FLOOD - 1}`)).toBe(true);
   expect(quarantine.isSuspected('flood-0')).toBe(false);
-  expect(quarantine.listBySeverity(10).map(([content]) => content)).toEqual(['a', 'b']);
+  expect(quarantine.listBySeverity(10).map(([fingerprint]) => fingerprint)).toEqual(['a', 'b']);
 });
 
-test('news of long ago is none', () => {
+test('the report of a crash of long ago is ignored', () => {
   nowMs += QUARANTINE_MS;
   const old: CrashedRun = {
     endpointTag: 1,
--- a/packages/router/src/quarantine/__tests__/requestFingerprint.test.ts
+++ b/packages/router/src/quarantine/__tests__/requestFingerprint.test.ts
@@ -1,6 +1,6 @@
 import { fingerprintRequest } from '../requestFingerprint.js';
 
-const content = {
+const request = {
   method: 'POST',
   host: 'shop.example',
   path: '/a?b=1',
@@ -8,9 +8,9 @@
   body: Buffer.from('x'),
 };
 
-test('the same content has the same fingerprint', () => {
-  expect(fingerprintRequest(content)).toBe(fingerprintRequest({ ...content, body: Buffer.from('x') }));
-  expect(fingerprintRequest(content)).toMatch(/^[0-9a-f]{16}$/);
+test('equal requests have the same fingerprint', () => {
+  expect(fingerprintRequest(request)).toBe(fingerprintRequest({ ...request, body: Buffer.from('x') }));
+  expect(fingerprintRequest(request)).toMatch(/^[0-9a-f]{16}$/);
 });
 
 test.each([
@@ -20,8 +20,8 @@
   { caller: 'team-2' },
   { body: Buffer.from('y') },
   { body: undefined },
-  // Moving the border between two parts makes another request.
+  // Moving the boundary between two parts changes the fingerprint.
   { path: '/a?b=', caller: '1team-1' },
-])('%j makes another request', (change) => {
-  expect(fingerprintRequest({ ...content, ...change })).not.toBe(fingerprintRequest(content));
+])('%j changes the fingerprint', (change) => {
+  expect(fingerprintRequest({ ...request, ...change })).not.toBe(fingerprintRequest(request));
 });
--- a/packages/router/src/quarantine/__tests__/suspectTable.test.ts
+++ b/packages/router/src/quarantine/__tests__/suspectTable.test.ts
@@ -10,21 +10,21 @@
   changedAtMs: 1,
 });
 
-test('a flood leaves nothing behind of what it pushed out', () => {
+test('records evicted by a flood of requests are removed from the index', () => {
   const table = new SuspectTable();
-  for (let at = 0; at < FLOOD; at += 1) table.keep(`request-${at}`, record(at));
+  for (let at = 0; at < FLOOD; at += 1) table.set(`request-${at}`, record(at));
   expect(table.endpointCount).toBe(table.seenOnce.size);
-  for (const [content] of [...table.seenOnce.entries()]) table.drop(content);
+  for (const [fingerprint] of [...table.seenOnce.entries()]) table.delete(fingerprint);
   expect(table.endpointCount).toBe(0);
   expect(table.isEmpty).toBe(true);
 });
 
-test('requests that were under way at the same endpoint are found', () => {
+test('requests that were in flight at the same endpoint are found', () => {
   const table = new SuspectTable();
-  table.keep('a', record(1));
-  table.keep('b', record(1, 2));
-  table.keep('c', record(2));
+  table.set('a', record(1));
+  table.set('b', record(1, 2));
+  table.set('c', record(2));
   const [run] = record(1).runs;
   if (run === undefined) throw new Error('no run');
-  expect(table.listBeside('a', run)).toEqual([record(1, 2)]);
+  expect(table.listConcurrent('a', run)).toEqual([record(1, 2)]);
 });
--- a/packages/router/src/quarantine/crashedRuns.ts
+++ b/packages/router/src/quarantine/crashedRuns.ts
@@ -1,53 +1,54 @@
 /**
- * Runs of one request that ended with their endpoint, and how many crashes they prove.
+ * Runs of one request that ended when their endpoint crashed, and how many crashes count against the request.
  *
- * Crashes count one after the other: a run counts if it began after the crash counted before it. Endpoints that go down
- * together (a rack, a hall behind a cut that refuses) share a cause, and many requests for the same, under way on several
- * of them, would otherwise be condemned by one fault. A request that does crash its endpoints has such a chain of crashes
- * as soon as it was sent again twice.
+ * Only sequential crashes count: a run counts if it started after the previously counted crash. Endpoints that fail
+ * together (a rack, or a hall behind a network cut that refuses connections) share a cause, and without this rule one
+ * such fault would quarantine a request of which many copies were running on several of them. A request that does crash
+ * its endpoints produces a chain of sequential crashes as soon as it has been retried twice.
  */
 
-/** A run of a request that ended with its endpoint. */
+/** A run of a request that ended when its endpoint crashed. */
 export interface CrashedRun {
   /** Tag of the endpoint. */
   readonly endpointTag: number;
-  /** Names the life of the box that saw it. */
+  /** Identifies the incarnation of the box that observed the crash; `witness` in frames and log lines. */
   readonly reporter: number;
-  /** On the clock of that life. */
+  /** On the reporter's clock. */
   readonly sentAtMs: number;
+  /** On the reporter's clock. */
   readonly endedAtMs: number;
-  /** When it ended, on the clock of the box that keeps it; later than it was by what the news took. */
+  /** End of the run on the clock of the box that keeps the record, late by the time that the report took. */
   readonly localEndAtMs: number;
-  /** The box that keeps it saw it itself. */
+  /** The box that keeps the record observed the crash itself. */
   readonly isLocal?: boolean;
 }
 
 /**
- * Times told by two boxes are compared with this much in doubt: news take a few milliseconds and up to one tick of either
- * loop (40 ms); the rest is for boxes that are slow. What one box saw is compared by its own clock, without doubt; so is the
- * start of a run of its own with a crash that it was told of, which was over before the news came.
+ * Margin for comparing times that two boxes reported: a report takes a few milliseconds and up to one tick of either
+ * loop (40 ms); the rest is for slow boxes. Times of one reporter are on one clock and compared without a margin; so is
+ * the start of a local run with the end of a reported one, since that crash was over before its report arrived.
  */
 const CLOCK_MARGIN_MS = 250;
-/** Runs kept for one request: the chain that counts, and some of the others. */
+/** Runs kept for one request: the chain that counts, and some others. */
 const MAX_KEPT_RUNS = 8;
 
 /**
- * Returns the crashes that count, the earliest first.
+ * Returns the sequential crashes that count, the earliest first.
  *
- * @example findCrashChain([{ endpointTag: 1, witness: 1, sentAtMs: 0, endedAtMs: 50, heardEndAtMs: 50 }]).length // 1
+ * @example findCrashChain([{ endpointTag: 1, reporter: 1, sentAtMs: 0, endedAtMs: 50, localEndAtMs: 50 }]).length // 1
  */
 export function findCrashChain(runs: readonly CrashedRun[]): CrashedRun[] {
   const chain: CrashedRun[] = [];
   for (const run of [...runs].sort((a, b) => a.localEndAtMs - b.localEndAtMs)) {
     const last = chain.at(-1);
-    if (last === undefined || beganAfter(run, last)) chain.push(run);
+    if (last === undefined || startedAfter(run, last)) chain.push(run);
   }
   return chain;
 }
 
 /**
- * Adds a run to those known; undefined if it tells nothing new. Of several copies that one endpoint had when it crashed
- * the one sent last is kept: it began after the most other crashes.
+ * Adds a run to the known ones; returns undefined if it adds no information. Of several copies that were running on one
+ * endpoint when it crashed, the one sent last is kept: it started after the largest number of other crashes.
  */
 export function addCrashedRun(
   runs: readonly CrashedRun[],
@@ -55,12 +56,12 @@
 ): readonly CrashedRun[] | undefined {
   if (runs.some((other) => isSameRun(other, run))) return undefined;
   const copy = runs.find((other) => isSameCrash(other, run));
-  if (copy !== undefined && readHeardSendMs(run) <= readHeardSendMs(copy) + CLOCK_MARGIN_MS) return undefined;
-  const kept = keepMostTelling([...runs.filter((other) => other !== copy), run]);
+  if (copy !== undefined && readLocalSendMs(run) <= readLocalSendMs(copy) + CLOCK_MARGIN_MS) return undefined;
+  const kept = limitRuns([...runs.filter((other) => other !== copy), run]);
   return kept.includes(run) ? kept : undefined;
 }
 
-/** When the last of these crashes was; minus infinity if there is none. */
+/** Time of the last of these crashes; minus infinity if there is none. */
 export function readLastCrashMs(runs: readonly CrashedRun[]): number {
   return Math.max(...runs.map((run) => run.localEndAtMs));
 }
@@ -69,25 +70,29 @@
   return a.endpointTag === b.endpointTag && a.reporter === b.reporter && a.sentAtMs === b.sentAtMs;
 }
 
-function beganAfter(run: CrashedRun, earlier: CrashedRun): boolean {
+function startedAfter(run: CrashedRun, earlier: CrashedRun): boolean {
   if (run.reporter === earlier.reporter) return run.sentAtMs >= earlier.endedAtMs;
-  const doubtMs = run.isLocal === true ? 0 : CLOCK_MARGIN_MS;
-  return readHeardSendMs(run) >= earlier.localEndAtMs + doubtMs;
+  const marginMs = run.isLocal === true ? 0 : CLOCK_MARGIN_MS;
+  return readLocalSendMs(run) >= earlier.localEndAtMs + marginMs;
 }
 
-function readHeardSendMs({ localEndAtMs: heardEndAtMs, endedAtMs, sentAtMs }: CrashedRun): number {
-  return heardEndAtMs - (endedAtMs - sentAtMs);
+function readLocalSendMs({ localEndAtMs, endedAtMs, sentAtMs }: CrashedRun): number {
+  return localEndAtMs - (endedAtMs - sentAtMs);
 }
 
-/** An endpoint that is back under its id may crash again: a run that began after the first crash belongs to another. */
+/**
+ * Whether two runs ended in the same crash of an endpoint. An endpoint that restarted under the same id may crash again:
+ * a run that started after the first crash belongs to a later one.
+ */
 export function isSameCrash(a: CrashedRun, b: CrashedRun): boolean {
-  return a.endpointTag === b.endpointTag && !beganAfter(a, b) && !beganAfter(b, a);
+  return a.endpointTag === b.endpointTag && !startedAfter(a, b) && !startedAfter(b, a);
 }
 
-function keepMostTelling(runs: readonly CrashedRun[]): readonly CrashedRun[] {
+/** Keeps the chain that counts and as many of the other runs as fit. */
+function limitRuns(runs: readonly CrashedRun[]): readonly CrashedRun[] {
   if (runs.length <= MAX_KEPT_RUNS) return runs;
   const chain = findCrashChain(runs);
-  // By an order on which all boxes agree, so that none hands on what the others have dropped.
+  // All boxes use the same order, so that none relays a run that the others have dropped.
   const others = runs
     .filter((run) => !chain.includes(run))
     .sort((a, b) => a.reporter - b.reporter || a.sentAtMs - b.sentAtMs);
--- a/packages/router/src/quarantine/quarantineRelay.ts
+++ b/packages/router/src/quarantine/quarantineRelay.ts
@@ -1,29 +1,30 @@
 /**
- * Tells the other boxes which requests ended with their endpoint, which of them are condemned, and which were answered
- * after all: a request that crashes its endpoints comes to any box. Nothing is said while no endpoint crashes.
+ * Sends the other boxes reports of crashed runs, of requests in quarantine and of requests that were cleared by a complete
+ * response, since a request that crashes its endpoints may arrive at any box. Nothing is sent while no endpoint crashes.
  *
- * In a small fleet each box tells all others. In a larger one it tells its hall; the first two boxes of a hall pass on what
- * is new to them, from their hall to the others and from the others to their hall. What a box missed while it was down or
- * cut off it hears on the link that comes up after.
+ * In a full mesh each box sends its reports to all others. In a larger fleet it sends them to its hall, and the first two
+ * boxes of the hall relay what is new to them, from their hall to the others and from the others to their hall. A box that
+ * was down or cut off gets the reports that it missed in a snapshot on the link that comes up afterwards.
  */
 import { findHallPosition } from '../membership/hallPosition.js';
-import type { QuarantinedRequest, CrashedRunReport, CrashReports, Heartbeat } from '../peers/peerFrames.js';
+import type { CrashedRunReport, CrashReports, Heartbeat, QuarantinedRequest } from '../peers/peerFrames.js';
 import type { PeerMesh } from '../peers/peerMesh.js';
 import type { CrashedRun } from './crashedRuns.js';
 import type { Quarantine } from './quarantine.js';
 import { QUARANTINE_MS } from './quarantine.js';
-import { WitnessClocks } from './reporterClocks.js';
+import { ReporterClocks } from './reporterClocks.js';
 
-/** Boxes of a hall that pass news on between halls; the second makes up for frames that the first loses. */
+/** Boxes of a hall that relay reports between halls; the second makes up for frames that the first loses. */
 const RELAYS_PER_HALL = 2;
-/** Requests told on a new link: with three runs each some ten kilobytes, and only after crashes. */
-const MAX_TOLD_ON_NEW_LINK = 64;
-/** Reports in one frame; what a crash of an engine with all its slots in use brings to one box is less. */
+/** Requests in a snapshot: with three runs each some ten kilobytes, and only after crashes. */
+const MAX_SNAPSHOT_REQUESTS = 64;
+/** Reports in one frame; a crash of an engine with all its slots in use causes fewer at one box. */
 const MAX_REPORTS_PER_FRAME = 256;
-/** Lives of boxes are told apart by a number drawn below this. */
-const MAX_WITNESS = 2 ** 32;
-/** From the box that saw it, to one that passes it to the other halls, to one that passes it on there, to the rest. */
+/** The number that identifies an incarnation of a box is drawn at random below this. */
+const MAX_REPORTER = 2 ** 32;
+/** Hops of a report that a relay of the reporter's hall sent to the other halls. */
 const HOPS_TO_OTHER_HALLS = 1;
+/** Hops of a report that a relay of another hall sent to the rest of that hall; it goes no further. */
 const HOPS_WITHIN_OTHER_HALLS = 2;
 
 /** What the relay works with. */
@@ -31,116 +32,118 @@
   readonly mesh: Pick<PeerMesh, 'address' | 'isFullMesh' | 'listReachable' | 'sendToEach'>;
   readonly quarantine: Quarantine;
   readonly hall: string;
-  /** Rank of an address, by which all boxes agree on those that pass news on. */
+  /** Rank of an address, by which all boxes agree on the relays of a hall. */
   readonly rank: (address: string) => number;
   readonly now: () => number;
   /** Between 0 and 1. */
   readonly random: () => number;
-  /** Called for each crash that another box tells of. */
+  /** Called for each crash that another box reports. */
   readonly onReport?: (delays: CrashReportDelays) => void;
 }
 
-/** How late the news of a crash is. */
+/** How long the report of a crash took, and where the time went. */
 export interface CrashReportDelays {
+  /** Fingerprint of the request. */
   readonly fingerprint: string;
-  /** Names the life of the box that saw it. */
+  /** Identifies the incarnation of the box that observed the crash. */
   readonly reporter: number;
-  /** Boxes that the news passed in between. */
+  /** Boxes that relayed the report. */
   readonly hops: number;
-  /** From the crash until the last box on the way sent the news, as that box says. */
+  /** From the crash until the last box on the way sent the report, as that box states it. */
   readonly heldMs: number;
-  /** From there to here, over the fastest news of the same witness so far; 0 for its first. */
+  /** From there to this box, over the fastest report of the same reporter so far; 0 for its first. */
   readonly delayMs: number;
-  /** How long ago the loop of this box last ran its systems: part of the delay, if it is above the pace of the loop. */
+  /** Time since the last tick of this box: it explains part of the delay if it is longer than the tick interval. */
   readonly loopMs: number;
 }
 
-/** One run of a request that ended with its endpoint. */
-interface SeenCrash {
-  readonly content: string;
+/** A crashed run and the request that it belongs to. */
+interface RequestCrash {
+  readonly fingerprint: string;
   readonly run: CrashedRun;
 }
 
-/** What is told at a time; ages are worked out when it is sent. */
-interface News {
-  readonly crashes: readonly SeenCrash[];
-  /** Contents. */
-  readonly condemned: readonly string[];
+/** Reports that are sent together; their ages are computed when they are sent. */
+interface ReportBatch {
+  readonly crashes: readonly RequestCrash[];
+  /** Fingerprints of requests in quarantine. */
+  readonly quarantined: readonly string[];
+  /** Fingerprints of requests that got a complete response. */
   readonly cleared: readonly string[];
 }
 
-/** What a box is told on a new link, as its first heartbeat carries it. */
+/** Reports sent on a new link, as part of the first heartbeat. */
 export type CrashSnapshot = Pick<Heartbeat, 'crashes' | 'condemned'>;
 
-/** One box's part in spreading what is known against requests. */
+/** Shares the quarantine records of one box with the other boxes. */
 export class QuarantineRelay {
-  private crashes: SeenCrash[] = [];
-  private condemned: string[] = [];
+  private crashes: RequestCrash[] = [];
+  private quarantined: string[] = [];
   private cleared: string[] = [];
-  private readonly witness: number;
-  private readonly clocks = new WitnessClocks();
+  private readonly reporter: number;
+  private readonly clocks = new ReporterClocks();
   private tickedAtMs = 0;
 
   constructor(private readonly options: QuarantineRelayOptions) {
-    this.witness = Math.floor(options.random() * MAX_WITNESS);
+    this.reporter = Math.floor(options.random() * MAX_REPORTER);
   }
 
-  /** This box saw a run end with its endpoint. */
-  recordCrash(content: string, run: Pick<CrashedRun, 'endpointTag' | 'sentAtMs' | 'endedAtMs'>): void {
-    const seen: SeenCrash = {
-      content,
-      run: { ...run, reporter: this.witness, localEndAtMs: run.endedAtMs, isLocal: true },
+  /** Records and reports a run at this box that ended when its endpoint crashed. */
+  recordCrash(fingerprint: string, run: Pick<CrashedRun, 'endpointTag' | 'sentAtMs' | 'endedAtMs'>): void {
+    const crash: RequestCrash = {
+      fingerprint,
+      run: { ...run, reporter: this.reporter, localEndAtMs: run.endedAtMs, isLocal: true },
     };
-    if (this.options.quarantine.recordCrash(content, seen.run)) this.crashes.push(seen);
+    if (this.options.quarantine.recordCrash(fingerprint, crash.run)) this.crashes.push(crash);
   }
 
-  /** This box saw a request answered whole. */
-  recordSuccess(content: string): void {
-    if (this.options.quarantine.recordSuccess(content)) this.cleared.push(content);
+  /** Clears a request that got a complete response at this box, and reports it. */
+  recordSuccess(fingerprint: string): void {
+    if (this.options.quarantine.recordSuccess(fingerprint)) this.cleared.push(fingerprint);
   }
 
-  /** Runs once a tick: judges, and what was seen since the last one goes out together. */
+  /** Runs once a tick: makes due decisions, and sends what was recorded since the last tick in one frame. */
   tick(): void {
     this.tickedAtMs = this.options.now();
-    const condemned = this.options.quarantine.tick();
-    this.condemned.push(...condemned.filter((content) => this.mustTellVerdict(content)));
-    if (this.crashes.length + this.condemned.length + this.cleared.length === 0) return;
-    const news: News = {
+    const quarantined = this.options.quarantine.tick();
+    this.quarantined.push(...quarantined.filter((fingerprint) => this.mustReportQuarantine(fingerprint)));
+    if (this.crashes.length + this.quarantined.length + this.cleared.length === 0) return;
+    const batch: ReportBatch = {
       crashes: this.crashes.splice(0).slice(-MAX_REPORTS_PER_FRAME),
-      condemned: this.condemned.splice(0),
+      quarantined: this.quarantined.splice(0),
       cleared: this.cleared.splice(0),
     };
     const { mesh, hall } = this.options;
-    this.sendWhere(0, news, (other) => mesh.isFullMesh || other === hall);
-    if (this.mustPassOn()) this.passOn(0, news);
+    this.sendToHalls(0, batch, (other) => mesh.isFullMesh || other === hall);
+    if (this.mustRelay()) this.relay(0, batch);
   }
 
-  /** Takes over what another box tells; passes on what is new here, if that falls to this box. */
+  /** Records the reports of another box; relays those that are new here, if this box is a relay of its hall. */
   handleCrashReports({ hops, crashes, condemned, cleared }: CrashReports): void {
     const { quarantine, now } = this.options;
     const nowMs = now();
-    this.noteDelays(crashes, hops, nowMs);
-    const heard = crashes.map(({ content, witness, endedAgoMs, ...run }): SeenCrash => ({
-      content,
+    this.reportDelays(crashes, hops, nowMs);
+    const received = crashes.map(({ content, witness, endedAgoMs, ...run }): RequestCrash => ({
+      fingerprint: content,
       run: { ...run, reporter: witness, localEndAtMs: nowMs - endedAgoMs },
     }));
-    const told = condemned.filter(({ content, endedAgoMs }) =>
+    const quarantined = condemned.filter(({ content, endedAgoMs }) =>
       quarantine.recordRemoteQuarantine(content, nowMs - endedAgoMs),
     );
-    const news: News = {
-      crashes: heard.filter(({ content, run }) => quarantine.recordCrash(content, run)),
-      condemned: told.map(({ content }) => content),
-      cleared: cleared.filter((content) => quarantine.recordSuccess(content)),
+    const batch: ReportBatch = {
+      crashes: received.filter(({ fingerprint, run }) => quarantine.recordCrash(fingerprint, run)),
+      quarantined: quarantined.map(({ content }) => content),
+      cleared: cleared.filter((fingerprint) => quarantine.recordSuccess(fingerprint)),
     };
-    const isNews = news.crashes.length + news.condemned.length + news.cleared.length > 0;
-    if (isNews && this.mustPassOn()) this.passOn(hops, news);
+    const isNew = batch.crashes.length + batch.quarantined.length + batch.cleared.length > 0;
+    if (isNew && this.mustRelay()) this.relay(hops, batch);
   }
 
-  /** Tells how late the news of the crashes in a frame is, and where the time went. */
-  private noteDelays(crashes: readonly CrashedRunReport[], hops: number, nowMs: number): void {
+  /** Passes the delays of the crashes reported in a frame to `onReport`. */
+  private reportDelays(crashes: readonly CrashedRunReport[], hops: number, nowMs: number): void {
     for (const report of crashes) {
       const { content, witness, endedAgoMs } = report;
-      const delayMs = this.clocks.note(witness, report.endedAtMs + endedAgoMs, nowMs);
+      const delayMs = this.clocks.measureDelay(witness, report.endedAtMs + endedAgoMs, nowMs);
       const loopMs = nowMs - this.tickedAtMs;
       this.options.onReport?.({
         fingerprint: content,
@@ -153,71 +156,83 @@
     }
   }
 
-  /** Takes over what a box tells on a link that just came up. */
+  /** Records the snapshot that the first heartbeat on a new link carries. */
   handleHeartbeat({ hall, crashes = [], condemned = [] }: Pick<Heartbeat, 'hall'> & CrashSnapshot): void {
     if (crashes.length + condemned.length === 0) return;
     const hops = hall === this.options.hall ? 0 : HOPS_TO_OTHER_HALLS;
     this.handleCrashReports({ type: 'crashNews', hops, crashes, condemned, cleared: [] });
   }
 
-  /** What a box on a new link is told: in a large fleet by those that pass news on. */
+  /** Creates the snapshot for a box on a new link; in a larger fleet only the relays send one. */
   createSnapshot(): CrashSnapshot {
     const { quarantine, mesh } = this.options;
-    if (quarantine.isEmpty || (!mesh.isFullMesh && !this.mustPassOn())) return {};
-    const worst = quarantine.listBySeverity(MAX_TOLD_ON_NEW_LINK);
+    if (quarantine.isEmpty || (!mesh.isFullMesh && !this.mustRelay())) return {};
+    const records = quarantine.listBySeverity(MAX_SNAPSHOT_REQUESTS);
     return {
-      crashes: worst.flatMap(([content, { runs }]) => runs.map((run) => this.toReport({ content, run }))),
-      condemned: this.listVerdicts(worst.map(([content]) => content)),
+      crashes: records.flatMap(([fingerprint, { runs }]) =>
+        runs.map((run) => this.toReport({ fingerprint, run })),
+      ),
+      condemned: this.listQuarantined(records.map(([fingerprint]) => fingerprint)),
     };
   }
 
   /**
-   * All boxes judge by the same news. In a large fleet those that pass news on tell what came of it, and a box that saw one
-   * of the crashes: it alone may know that a run of its own began after news that came late.
+   * All boxes decide by the same reports. In a larger fleet only the relays report their decisions, and boxes that observed
+   * one of the crashes: such a box may be the only one to know that a run of its own started after a crash whose report
+   * arrived late.
    */
-  private mustTellVerdict(content: string): boolean {
+  private mustReportQuarantine(fingerprint: string): boolean {
     const { mesh, quarantine } = this.options;
-    return mesh.isFullMesh || quarantine.hasLocalCrash(content) || this.mustPassOn();
+    return mesh.isFullMesh || quarantine.hasLocalCrash(fingerprint) || this.mustRelay();
   }
 
-  /** News go from the hall where they were seen to the others, and there to all. */
-  private passOn(hops: number, news: News): void {
+  /** Relays reports from the hall of the reporter to the other halls, and there to all boxes. */
+  private relay(hops: number, batch: ReportBatch): void {
     if (hops >= HOPS_WITHIN_OTHER_HALLS) return;
-    const isHome = hops === HOPS_TO_OTHER_HALLS;
-    this.sendWhere(hops + 1, news, (hall) => (hall === this.options.hall) === isHome);
+    const isToOwnHall = hops === HOPS_TO_OTHER_HALLS;
+    this.sendToHalls(hops + 1, batch, (hall) => (hall === this.options.hall) === isToOwnHall);
   }
 
-  private sendWhere(hops: number, news: News, isMeant: (hall: string) => boolean): void {
+  private sendToHalls(hops: number, batch: ReportBatch, isTarget: (hall: string) => boolean): void {
     const { mesh } = this.options;
     const frame: CrashReports = {
       type: 'crashNews',
       hops,
-      crashes: news.crashes.map((seen) => this.toReport(seen)),
-      condemned: this.listVerdicts(news.condemned),
-      cleared: [...news.cleared],
+      crashes: batch.crashes.map((crash) => this.toReport(crash)),
+      condemned: this.listQuarantined(batch.quarantined),
+      cleared: [...batch.cleared],
     };
-    const meant = mesh.listReachable().filter(({ hall }) => isMeant(hall));
+    const targets = mesh.listReachable().filter(({ hall }) => isTarget(hall));
     mesh.sendToEach(
-      meant.map(({ address }) => address),
+      targets.map(({ address }) => address),
       frame,
     );
   }
 
-  private toReport({ content, run }: SeenCrash): CrashedRunReport {
-    const { reporter: witness, localEndAtMs: heardEndAtMs, isLocal: _isOwn, ...seen } = run;
-    return { content, ...seen, witness, endedAgoMs: Math.max(0, this.options.now() - heardEndAtMs) };
+  private toReport({ fingerprint, run }: RequestCrash): CrashedRunReport {
+    const { reporter, localEndAtMs, isLocal: _isLocal, ...times } = run;
+    return {
+      content: fingerprint,
+      ...times,
+      witness: reporter,
+      endedAgoMs: Math.max(0, this.options.now() - localEndAtMs),
+    };
   }
 
-  private listVerdicts(contents: readonly string[]): QuarantinedRequest[] {
+  /** The requests among these that are in quarantine, as frames carry them. */
+  private listQuarantined(fingerprints: readonly string[]): QuarantinedRequest[] {
     const { quarantine } = this.options;
-    return contents
-      .map((content) => ({ content, waitMs: quarantine.readRemainingMs(content) }))
-      .filter(({ waitMs }) => waitMs > 0)
-      .map(({ content, waitMs }) => ({ content, endedAgoMs: QUARANTINE_MS - waitMs }));
+    return fingerprints
+      .map((fingerprint) => ({ fingerprint, remainingMs: quarantine.readRemainingMs(fingerprint) }))
+      .filter(({ remainingMs }) => remainingMs > 0)
+      .map(({ fingerprint, remainingMs }) => ({
+        content: fingerprint,
+        endedAgoMs: QUARANTINE_MS - remainingMs,
+      }));
   }
 
-  /** Whether this box passes news on between halls: it is one of the first of its hall. In a small fleet none does. */
-  private mustPassOn(): boolean {
+  /** Whether this box relays reports between halls, as one of the first of its hall. In a full mesh none does. */
+  private mustRelay(): boolean {
     const { mesh, hall, rank } = this.options;
     return !mesh.isFullMesh && findHallPosition(mesh, hall, rank) < RELAYS_PER_HALL;
   }
--- a/packages/router/src/quarantine/reporterClocks.ts
+++ b/packages/router/src/quarantine/reporterClocks.ts
@@ -1,25 +1,25 @@
-/** Compares the clocks of the boxes that tell of crashes with the own one, so that the delay of news can be told. */
+/** Compares the clocks of the boxes that report crashes with the local one, to measure how long reports are delayed. */
 import { LRUCache } from 'lru-cache';
 
-/** Lives of boxes whose clock is remembered. */
-const MAX_WITNESSES = 1_024;
+/** Incarnations of boxes whose clock offset is kept. */
+const MAX_REPORTERS = 1_024;
 
-/** The clocks of the boxes that told of crashes. */
-export class WitnessClocks {
-  /** Least difference between the own clock and that of a witness; what the fastest news took is part of it. */
-  private readonly differencesMs = new LRUCache<number, number>({ max: MAX_WITNESSES });
+/** Clock offsets of the boxes that reported crashes. */
+export class ReporterClocks {
+  /** Least difference between the local clock and a reporter's; it includes the delay of the fastest report. */
+  private readonly offsetsMs = new LRUCache<number, number>({ max: MAX_REPORTERS });
 
   /**
-   * Takes note of the time at which news was sent, and returns how much longer it took than the fastest of that witness.
+   * Records the time at which a report was sent, and returns its delay over the fastest report of the same reporter.
    *
-   * @param sentAtMs on the clock of the witness
-   * @param nowMs on the own clock
-   * @example clocks.note(7, 100, 5_100); clocks.note(7, 200, 5_950) // 0, then 750
+   * @param sentAtMs on the reporter's clock
+   * @param nowMs on the local clock
+   * @example clocks.measureDelay(7, 100, 5_100); clocks.measureDelay(7, 200, 5_950) // 0, then 750
    */
-  note(witness: number, sentAtMs: number, nowMs: number): number {
-    const differenceMs = nowMs - sentAtMs;
-    const leastMs = Math.min(differenceMs, this.differencesMs.get(witness) ?? Infinity);
-    this.differencesMs.set(witness, leastMs);
-    return differenceMs - leastMs;
+  measureDelay(reporter: number, sentAtMs: number, nowMs: number): number {
+    const offsetMs = nowMs - sentAtMs;
+    const leastMs = Math.min(offsetMs, this.offsetsMs.get(reporter) ?? Infinity);
+    this.offsetsMs.set(reporter, leastMs);
+    return offsetMs - leastMs;
   }
 }
--- a/packages/router/src/quarantine/requestFingerprint.ts
+++ b/packages/router/src/quarantine/requestFingerprint.ts
@@ -1,29 +1,29 @@
 /**
- * What makes two requests the same, whatever id they carry and whichever box they come to: method, host, path with
- * query, the caller behind it, and the body. The other headers say how a request is to be handled, not what it asks for.
+ * Fingerprint of a request, the same on every box and whatever request id it carries: it covers method, host, path with
+ * query, caller and body. The other headers state how a request is to be handled, not what it asks for.
  */
 import { createHash } from 'node:crypto';
 
-/** What an endpoint is asked to do, and by whom. */
+/** The parts of a request that its fingerprint is computed from. */
 export interface FingerprintInput {
   readonly method: string;
   readonly host: string;
-  /** With the query. */
+  /** Includes the query. */
   readonly path: string;
-  /** The team, or the key itself where callers have no teams; empty where they need no key. */
+  /** The team, or the API key where callers have no teams; empty where no key is required. */
   readonly caller: string;
   readonly body: Buffer | undefined;
 }
 
-/** Hex digits of a fingerprint: 64 bits, so that among a million requests two share one by chance once in 10^7 times. */
+/** Hex digits of a fingerprint: with 64 bits, the chance of a collision among a million requests is about 1 in 10^7. */
 const FINGERPRINT_DIGITS = 16;
-/** Stands between the parts; none of them can hold it. */
+/** Separates the parts; none of them can contain it. */
 const SEPARATOR = '\0';
 
 /**
- * Names a request by its content. The hash is a cryptographic one: nobody can make up a request that is taken for one of
- * another caller. It takes some microseconds, and is needed only for requests that may have crashed an endpoint, and
- * for all others while such requests are about.
+ * Computes the fingerprint of a request. The hash is cryptographic, so that nobody can forge a request with the
+ * fingerprint of another caller's. It takes some microseconds and is computed only for requests that may have crashed an
+ * endpoint, and for all other requests while records of such requests exist.
  *
  * @example
  * fingerprintRequest({ method: 'GET', host: 'shop.example', path: '/a', caller: 'team-1', body: undefined })
--- a/packages/router/src/quarantine/suspectTable.ts
+++ b/packages/router/src/quarantine/suspectTable.ts
@@ -1,101 +1,105 @@
-/** The records of requests that met crashes, in bounded books by how much is known, and by the endpoints that crashed. */
+/**
+ * Records of the requests that were in flight during crashes, in bounded caches by the number of crashes, and indexed by
+ * the endpoints that crashed.
+ */
 import { LRUCache } from 'lru-cache';
 import type { CrashedRun } from './crashedRuns.js';
 
-/** Crashes after which a request is worth more room. */
+/** Crashes after which a request has a cache of its own, from which requests with a single crash cannot evict it. */
 const SEEN_TWICE_CRASHES = 2;
-/** Requests seen in one crash: the ones in flight at some hundred crashes. The oldest are dropped first. */
+/** Requests seen in one crash: those in flight during some hundred crashes. The oldest are evicted first. */
 const MAX_SEEN_ONCE = 4_096;
-/** Requests seen in two crashes; and those not sent any more. All three books full fit into a tenth of a box's heap. */
+/** Requests seen in two or more crashes. All three caches together, when full, take a tenth of a box's heap. */
 const MAX_SEEN_TWICE = 1_024;
+/** Requests in quarantine. */
 const MAX_QUARANTINED = 1_024;
 
-/** What is settled about a request. */
+/** Quarantine state of one request. */
 export type QuarantineState =
   | { readonly type: 'none' }
-  /** Its crashes may be enough: it waits until what other boxes saw of them has come. */
-  | { readonly type: 'pending'; readonly judgeAtMs: number }
-  /** It is not sent to endpoints, by this box's count or by that of another. */
+  /** It may have crashed enough endpoints; the decision waits for the reports of other boxes. */
+  | { readonly type: 'pending'; readonly decideAtMs: number }
+  /** It is not sent to endpoints, by the decision of this box or of another one. */
   | { readonly type: 'quarantined'; readonly untilMs: number }
-  /** It was condemned, and the time for which that holds is over. */
+  /** Its quarantine has expired. */
   | { readonly type: 'released' };
 
-/** What a box knows against one request. */
+/** What a box has recorded about one request. */
 export interface SuspectRecord {
   readonly runs: readonly CrashedRun[];
-  /** Crashes one after the other. */
+  /** Number of sequential crashes. */
   readonly crashes: number;
   readonly state: QuarantineState;
   readonly changedAtMs: number;
 }
 
-type SuspectBook = LRUCache<string, SuspectRecord>;
+type SuspectCache = LRUCache<string, SuspectRecord>;
 
-/** All records of one box, by content. */
+/** All records of one box, by the fingerprint of the request. */
 export class SuspectTable {
-  /** Contents that were under way at an endpoint when it crashed, by its tag. */
+  /** Fingerprints of the requests that were in flight at an endpoint when it crashed, by the endpoint's tag. */
   private readonly byEndpoint = new Map<number, Set<string>>();
-  readonly seenOnce = this.createBook(MAX_SEEN_ONCE);
-  readonly seenTwice = this.createBook(MAX_SEEN_TWICE);
-  readonly quarantined = this.createBook(MAX_QUARANTINED);
-  private readonly books = [this.quarantined, this.seenTwice, this.seenOnce];
+  readonly seenOnce = this.createCache(MAX_SEEN_ONCE);
+  readonly seenTwice = this.createCache(MAX_SEEN_TWICE);
+  readonly quarantined = this.createCache(MAX_QUARANTINED);
+  private readonly caches = [this.quarantined, this.seenTwice, this.seenOnce];
 
   get isEmpty(): boolean {
-    return this.books.every((book) => book.size === 0);
+    return this.caches.every((cache) => cache.size === 0);
   }
 
-  /** Endpoints that crashed under a request which is known here. */
+  /** Endpoints that crashed while a request of this table was in flight there. */
   get endpointCount(): number {
     return this.byEndpoint.size;
   }
 
-  find(content: string): SuspectRecord | undefined {
-    for (const book of this.books) {
-      const record = book.peek(content);
+  find(fingerprint: string): SuspectRecord | undefined {
+    for (const cache of this.caches) {
+      const record = cache.peek(fingerprint);
       if (record !== undefined) return record;
     }
     return undefined;
   }
 
-  /** Writes a record in place of what was known. */
-  keep(content: string, record: SuspectRecord): void {
-    this.drop(content);
-    for (const { endpointTag } of record.runs) this.index(endpointTag, content);
-    this.pickBook(record).set(content, record);
+  /** Stores a record in place of an earlier one of the same request. */
+  set(fingerprint: string, record: SuspectRecord): void {
+    this.delete(fingerprint);
+    for (const { endpointTag } of record.runs) this.addToIndex(endpointTag, fingerprint);
+    this.selectCache(record).set(fingerprint, record);
   }
 
-  /** Forgets a request. */
-  drop(content: string): void {
-    for (const book of this.books) book.delete(content);
+  /** Removes the record of a request. */
+  delete(fingerprint: string): void {
+    for (const cache of this.caches) cache.delete(fingerprint);
   }
 
-  /** Other requests that were under way at an endpoint when it crashed. */
-  listBeside(content: string, { endpointTag }: CrashedRun): SuspectRecord[] {
-    const others = [...(this.byEndpoint.get(endpointTag) ?? [])].filter((other) => other !== content);
+  /** Other requests that were in flight at the endpoint of a run when it crashed. */
+  listConcurrent(fingerprint: string, { endpointTag }: CrashedRun): SuspectRecord[] {
+    const others = [...(this.byEndpoint.get(endpointTag) ?? [])].filter((other) => other !== fingerprint);
     return others.map((other) => this.find(other)).filter((record) => record !== undefined);
   }
 
-  /** A book of bounded size; what leaves it, pushed out or dropped, leaves the index as well. */
-  private createBook(max: number): SuspectBook {
-    return new LRUCache({ max, dispose: (record, content) => this.unindexAll(content, record) });
+  /** Creates a cache of bounded size; a record that is evicted or deleted is removed from the index as well. */
+  private createCache(max: number): SuspectCache {
+    return new LRUCache({ max, dispose: (record, fingerprint) => this.removeFromIndex(fingerprint, record) });
   }
 
-  private pickBook({ crashes, state: verdict }: SuspectRecord): SuspectBook {
-    if (verdict.type === 'quarantined') return this.quarantined;
+  private selectCache({ crashes, state }: SuspectRecord): SuspectCache {
+    if (state.type === 'quarantined') return this.quarantined;
     return crashes < SEEN_TWICE_CRASHES ? this.seenOnce : this.seenTwice;
   }
 
-  private index(endpointTag: number, content: string): void {
-    const contents = this.byEndpoint.get(endpointTag);
-    if (contents === undefined) this.byEndpoint.set(endpointTag, new Set([content]));
-    else contents.add(content);
+  private addToIndex(endpointTag: number, fingerprint: string): void {
+    const fingerprints = this.byEndpoint.get(endpointTag);
+    if (fingerprints === undefined) this.byEndpoint.set(endpointTag, new Set([fingerprint]));
+    else fingerprints.add(fingerprint);
   }
 
-  private unindexAll(content: string, { runs }: SuspectRecord): void {
+  private removeFromIndex(fingerprint: string, { runs }: SuspectRecord): void {
     for (const { endpointTag } of runs) {
-      const contents = this.byEndpoint.get(endpointTag);
-      contents?.delete(content);
-      if (contents?.size === 0) this.byEndpoint.delete(endpointTag);
+      const fingerprints = this.byEndpoint.get(endpointTag);
+      fingerprints?.delete(fingerprint);
+      if (fingerprints?.size === 0) this.byEndpoint.delete(endpointTag);
     }
   }
 }
