--- a/packages/router/src/quarantine/__tests__/lateCrashReports.test.ts
+++ b/packages/router/src/quarantine/__tests__/lateCrashReports.test.ts
@@ -58,7 +58,7 @@
 });
 
 test.each([true, false])(
-  'a box that sends a request after late reports of two crashes quarantines it after the third, and reports it (full mesh: %s)',
+  'a box that receives two crash reports late quarantines the request after the third, and reports it (full mesh: %s)',
   (isFullMesh) => {
     const first = new Box(1, isFullMesh);
     const last = new Box(4, isFullMesh);
--- a/packages/router/src/quarantine/quarantine.ts
+++ b/packages/router/src/quarantine/quarantine.ts
@@ -136,7 +136,7 @@
     return true;
   }
 
-  /** Clears a request that got a complete response: it does not crash its endpoints. Returns false if it was not recorded. */
+  /** Clears a request that got a complete response, so does not crash its endpoints. Returns false if it was unknown. */
   recordSuccess(fingerprint: string): boolean {
     const known = this.table.find(fingerprint);
     if (known === undefined) return false;
