--- a/packages/router/src/membership/__fixtures__/virtualFleet.ts
+++ b/packages/router/src/membership/__fixtures__/virtualFleet.ts
@@ -1,4 +1,4 @@
-/** Many boxes in virtual time, each with the membership that ships, without sockets. */
+/** Many boxes in virtual time, each with the production membership code, without sockets. */
 import { createHasher } from '@hazelwalk/core';
 import { createRandom, Timeline } from '@hazelwalk/standins';
 import type { Heartbeat, RouterFrame } from '../../peers/peerFrames.js';
@@ -6,46 +6,46 @@
 import type { CrashSnapshot } from '../../quarantine/quarantineRelay.js';
 import { VirtualNetwork } from './virtualNetwork.js';
 
-/** Pace of the boxes' loops. */
+/** Tick interval of the boxes' loops. */
 const TICK_MS = 50;
-/** Boxes of a fleet that starts are up within this. */
+/** All boxes of a fleet start within this time. */
 const START_SPREAD_MS = 300;
 const MS_PER_S = 1_000;
 
-/** What runs in a box on top of its membership; a new one for each run of its process. */
+/** The program of a box on top of its membership; each run of its process creates a new one. */
 export interface VirtualProgram {
   handleFrame(frame: RouterFrame): void;
   tick(): void;
-  /** Loads that heartbeats of a small fleet carry. */
+  /** Loads that heartbeats carry in a full mesh. */
   listLoads(): number[];
-  /** What is told on a new link of requests that crash their endpoints. */
+  /** Crash reports sent on a new link. */
   createCrashSnapshot?(): CrashSnapshot;
-  /** What a heartbeat tells besides, each time. */
+  /** Prompt counts added to each regular heartbeat. */
   createDemandReport?(): Pick<Heartbeat, 'prompts'>;
 }
 
-/** One box. */
+/** A box of the fleet. */
 export interface VirtualBox {
   readonly address: string;
   readonly hall: string;
   mesh: PeerMesh;
   program: VirtualProgram | undefined;
-  /** Boxes of its hall that it found to be down, and when. */
+  /** Boxes of its hall that it takes to be down, and since when. */
   readonly downAtMs: Map<string, number>;
 }
 
-/** How a fleet is laid out. */
+/** Size and layout of a fleet. */
 export interface FleetPlan {
   readonly boxes: number;
   readonly halls: number;
   readonly seed: number;
-  /** How many boxes are named to every box as those to turn to first. */
+  /** Number of boxes that every box is configured with as seeds. */
   readonly seeds?: number;
-  /** Creates what runs on top of membership; left out: nothing. */
+  /** Creates the program of a box; if omitted, boxes run membership only. */
   readonly createProgram?: (box: VirtualBox, mesh: PeerMesh) => VirtualProgram;
 }
 
-/** A fleet. */
+/** A virtual fleet. */
 export class VirtualFleet {
   readonly timeline = new Timeline();
   readonly network = new VirtualNetwork(this.timeline);
@@ -58,23 +58,24 @@
     private readonly hash: (text: string) => number,
   ) {
     this.random = createRandom(plan.seed);
-    const places = Array.from({ length: plan.boxes }, (_, at) => createPlace(at, plan.halls));
-    this.seedAddresses = places.slice(0, plan.seeds ?? 3).map((place) => place.address);
-    // Until its process listens a machine refuses connections.
-    for (const place of places) this.network.setState(place.address, 'killed');
-    for (const place of places) this.timeline.after(this.random() * START_SPREAD_MS, () => this.add(place));
+    const locations = Array.from({ length: plan.boxes }, (_, at) => createLocation(at, plan.halls));
+    this.seedAddresses = locations.slice(0, plan.seeds ?? 3).map((location) => location.address);
+    // A machine refuses connections until its process listens.
+    for (const location of locations) this.network.setState(location.address, 'killed');
+    for (const location of locations)
+      this.timeline.after(this.random() * START_SPREAD_MS, () => this.add(location));
   }
 
-  /** Creates a fleet whose boxes start within a moment. */
+  /** Creates a fleet whose boxes start within `START_SPREAD_MS`. */
   static async create(plan: FleetPlan): Promise<VirtualFleet> {
     const hasher = await createHasher();
     return new VirtualFleet(plan, (text) => hasher.h32(text));
   }
 
-  /** Lets time pass. */
+  /** Advances the virtual time. */
   async run(seconds: number): Promise<void> {
     const endMs = this.timeline.nowMs + seconds * MS_PER_S;
-    // Binding is asynchronous: it gets its turn between the steps.
+    // Binding is asynchronous: its promises settle between the steps.
     while (this.timeline.nowMs < endMs) {
       this.timeline.run(Math.min(endMs, this.timeline.nowMs + TICK_MS));
       await Promise.resolve();
@@ -82,7 +83,7 @@
     }
   }
 
-  /** Boxes of a hall whose processes run. */
+  /** Boxes of a hall whose processes are running. */
   listHall(hall: string): VirtualBox[] {
     return this.listRunning().filter((box) => box.hall === hall);
   }
@@ -91,19 +92,19 @@
     return this.boxes.filter((box) => this.network.readMachine(box.address).state === 'running');
   }
 
-  /** The process of a box ends; connections to it are reset, or say nothing if its machine lost power. */
-  stop(box: VirtualBox, how: 'killed' | 'dark'): void {
+  /** Ends the process of a box; connections to it are reset, or go silent if its machine lost power. */
+  stop(box: VirtualBox, how: 'killed' | 'poweredOff'): void {
     this.network.setState(box.address, how);
     if (how === 'killed') box.mesh.close();
   }
 
-  /** Starts a box that was stopped: it knows nothing of its former run. */
+  /** Starts a stopped box, which keeps no state of its former run. */
   restart(box: VirtualBox): void {
     box.downAtMs.clear();
     box.mesh = this.startMesh(box);
   }
 
-  /** Rank of an address, as the boxes see it. */
+  /** Rank of an address, as computed by the boxes. */
   rank(address: string): number {
     return this.hash(address);
   }
@@ -123,8 +124,8 @@
     return this.add({ address: `10.9.${this.boxes.length >> 8}.${this.boxes.length & 255}:7340`, hall });
   }
 
-  private add(place: { readonly address: string; readonly hall: string }): VirtualBox {
-    const box = { ...place, downAtMs: new Map<string, number>() } as VirtualBox;
+  private add(location: { readonly address: string; readonly hall: string }): VirtualBox {
+    const box = { ...location, downAtMs: new Map<string, number>() } as VirtualBox;
     this.boxes.push(box);
     box.mesh = this.startMesh(box);
     return box;
@@ -165,9 +166,9 @@
         onFrameRead: () => {},
         onFrame: (frame) => box.program?.handleFrame(frame),
         onProblem: () => {},
-        onStateChange: (other, standing) => {
-          if (standing === 'down') box.downAtMs.set(other, timeline.nowMs);
-          else box.downAtMs.delete(other);
+        onStateChange: (peer, state) => {
+          if (state === 'down') box.downAtMs.set(peer, timeline.nowMs);
+          else box.downAtMs.delete(peer);
         },
       },
     );
@@ -181,7 +182,7 @@
     let heartbeatAtMs = -Infinity;
     const tick = (): void => {
       const machine = this.network.readMachine(box.address);
-      if (machine.run !== run || machine.state === 'dark' || machine.state === 'killed') return;
+      if (machine.run !== run || machine.state === 'poweredOff' || machine.state === 'killed') return;
       if (machine.state === 'running') {
         mesh.tick();
         box.program?.tick();
@@ -196,7 +197,7 @@
   }
 }
 
-function createPlace(at: number, halls: number): { readonly address: string; readonly hall: string } {
+function createLocation(at: number, halls: number): { readonly address: string; readonly hall: string } {
   const hall = at % halls;
   return { address: `10.${hall}.${at >> 8}.${at & 255}:7340`, hall: `hall-${hall}` };
 }
--- a/packages/router/src/membership/__fixtures__/virtualNetwork.ts
+++ b/packages/router/src/membership/__fixtures__/virtualNetwork.ts
@@ -1,10 +1,10 @@
-/** Connections between boxes in virtual time: delay, cuts one way and both, boxes without power, paused or killed. */
+/** Connections in virtual time: with delays, one-way and two-way cuts, and paused, killed or powered-off boxes. */
 import type { Timeline } from '@hazelwalk/standins';
 import { PeerFrameReader } from '../../peers/peerFrameCodec.js';
 import type { PeerFrame } from '../../peers/peerFrames.js';
 import type { ConnectionEvents, PeerConnection, PeerTransport } from '../../peers/peerTransport.js';
 
-/** One way between two boxes, as within a region. */
+/** One-way delay between two boxes, as within a region. */
 const DELAY_MS = 1;
 
 type Accept = (connection: PeerConnection) => ConnectionEvents;
@@ -13,54 +13,54 @@
 export type MachineState =
   /** Its process runs. */
   | 'running'
-  /** Its process stands still; the machine takes what arrives. */
+  /** Its process is paused; the machine buffers what arrives. */
   | 'paused'
-  /** Its process is gone; the machine says so to whoever asks. */
+  /** Its process has ended; the machine refuses and resets connections. */
   | 'killed'
-  /** It says nothing. */
-  | 'dark';
+  /** It has no power and sends nothing. */
+  | 'poweredOff';
 
 interface Machine {
   state: MachineState;
-  /** Which run of the process; connections of an earlier one are gone. */
+  /** Number of the current run of the process; connections of earlier runs are closed. */
   run: number;
   accept: Accept | undefined;
-  /** What happens when a paused process goes on. */
-  readonly held: (() => void)[];
+  /** Actions that run when a paused process resumes. */
+  readonly deferred: (() => void)[];
 }
 
-/** Everything between the boxes of a virtual fleet. */
+/** The network between the boxes of a virtual fleet. */
 export class VirtualNetwork {
   /** Bytes that each box sent. */
   readonly sentBytes = new Map<string, number>();
   connections = 0;
   private readonly machines = new Map<string, Machine>();
-  private readonly waiting = new Set<VirtualEnd>();
-  private blocks: (from: string, to: string) => boolean = () => false;
+  private readonly blockedEnds = new Set<ConnectionEnd>();
+  private isCut: (from: string, to: string) => boolean = () => false;
 
   constructor(readonly timeline: Timeline) {}
 
-  /** Says which ways are cut; what was sent meanwhile arrives when they are open again. */
-  cut(blocks: (from: string, to: string) => boolean): void {
-    this.blocks = blocks;
-    for (const end of this.waiting) end.flush();
+  /** Sets which directions are cut; data sent meanwhile arrives when they are open again. */
+  cut(isCut: (from: string, to: string) => boolean): void {
+    this.isCut = isCut;
+    for (const end of this.blockedEnds) end.flush();
   }
 
-  /** Whether something sent now gets through. */
+  /** Whether data sent now arrives. */
   isOpen(from: string, to: string): boolean {
-    return !this.blocks(from, to) && this.readMachine(to).state !== 'dark';
+    return !this.isCut(from, to) && this.readMachine(to).state !== 'poweredOff';
   }
 
-  /** Changes what a machine does. */
+  /** Changes the state of a machine. */
   setState(address: string, state: MachineState): void {
     const machine = this.readMachine(address);
     const before = machine.state;
     machine.state = state;
-    if (state === 'killed' || state === 'dark') machine.held.length = 0;
-    if (before === 'paused' && state === 'running') for (const act of machine.held.splice(0)) act();
+    if (state === 'killed' || state === 'poweredOff') machine.deferred.length = 0;
+    if (before === 'paused' && state === 'running') for (const action of machine.deferred.splice(0)) action();
   }
 
-  /** A new run of a box's process begins; its transport. */
+  /** Starts a new run of a box's process and returns its transport. */
   startRun(address: string): PeerTransport {
     const machine = this.readMachine(address);
     machine.run += 1;
@@ -69,18 +69,18 @@
     return new VirtualTransport(this, address, machine.run);
   }
 
-  /** Runs an action of a process, later if it is paused, never if that run is over. */
-  actIn(address: string, run: number, act: () => void): void {
+  /** Runs an action of a process: later if the process is paused, never if that run has ended. */
+  actIn(address: string, run: number, action: () => void): void {
     const machine = this.readMachine(address);
     if (machine.run !== run) return;
-    if (machine.state === 'running') act();
-    else if (machine.state === 'paused') machine.held.push(act);
+    if (machine.state === 'running') action();
+    else if (machine.state === 'paused') machine.deferred.push(action);
   }
 
   readMachine(address: string): Machine {
     let machine = this.machines.get(address);
     if (machine === undefined) {
-      machine = { state: 'dark', run: 0, accept: undefined, held: [] };
+      machine = { state: 'poweredOff', run: 0, accept: undefined, deferred: [] };
       this.machines.set(address, machine);
     }
     return machine;
@@ -90,25 +90,25 @@
     this.sentBytes.set(address, (this.sentBytes.get(address) ?? 0) + bytes);
   }
 
-  noteWaiting(end: VirtualEnd): void {
-    this.waiting.add(end);
+  addBlocked(end: ConnectionEnd): void {
+    this.blockedEnds.add(end);
   }
 
-  noteFlushed(end: VirtualEnd): void {
-    this.waiting.delete(end);
+  removeBlocked(end: ConnectionEnd): void {
+    this.blockedEnds.delete(end);
   }
 
-  after(act: () => void): void {
-    this.timeline.after(DELAY_MS, act);
+  after(action: () => void): void {
+    this.timeline.after(DELAY_MS, action);
   }
 }
 
 /** One end of a connection. */
-class VirtualEnd implements PeerConnection {
+class ConnectionEnd implements PeerConnection {
   isUp = false;
-  isOver = false;
+  isClosed = false;
   events: ConnectionEvents | undefined;
-  other!: VirtualEnd;
+  remote!: ConnectionEnd;
   private readonly unsent: Buffer[] = [];
   private readonly reader = new PeerFrameReader();
 
@@ -123,49 +123,49 @@
   }
 
   write(packet: Buffer): void {
-    if (!this.isUp || this.isOver) return;
+    if (!this.isUp || this.isClosed) return;
     this.network.countBytes(this.address, packet.length);
     this.unsent.push(packet);
     this.flush();
   }
 
-  /** Sends what waits, if the way is open. */
+  /** Sends the buffered packets, if the direction is not cut. */
   flush(): void {
-    const { network, other } = this;
-    if (this.isOver || !network.isOpen(this.address, other.address)) return network.noteWaiting(this);
-    network.noteFlushed(this);
-    for (const packet of this.unsent.splice(0)) network.after(() => other.take(packet));
+    const { network, remote } = this;
+    if (this.isClosed || !network.isOpen(this.address, remote.address)) return network.addBlocked(this);
+    network.removeBlocked(this);
+    for (const packet of this.unsent.splice(0)) network.after(() => remote.receive(packet));
   }
 
   destroy(): void {
-    if (this.isOver) return;
+    if (this.isClosed) return;
     this.close();
     this.network.after(() => {
-      if (this.network.isOpen(this.address, this.other.address)) this.other.close();
+      if (this.network.isOpen(this.address, this.remote.address)) this.remote.close();
     });
   }
 
   close(): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isClosed) return;
+    this.isClosed = true;
     this.isUp = false;
-    this.network.noteFlushed(this);
+    this.network.removeBlocked(this);
     this.network.after(() => this.network.actIn(this.address, this.run, () => this.events?.onClosed()));
   }
 
-  private take(packet: Buffer): void {
+  private receive(packet: Buffer): void {
     const machine = this.network.readMachine(this.address);
     const isGone = machine.run !== this.run || machine.state === 'killed';
-    // The machine of a process that is gone resets what still arrives; one without power says nothing.
-    if (isGone && machine.state !== 'dark') return void this.network.after(() => this.other.close());
-    if (this.isOver) return;
+    // The machine of an ended process resets connections on which data still arrives; one without power sends nothing.
+    if (isGone && machine.state !== 'poweredOff') return void this.network.after(() => this.remote.close());
+    if (this.isClosed) return;
     this.network.actIn(this.address, this.run, () => {
       for (const frame of this.reader.push(packet).unwrap()) this.deliver(frame);
     });
   }
 
   private deliver(frame: PeerFrame): void {
-    if (!this.isOver) this.events?.onFrame(frame);
+    if (!this.isClosed) this.events?.onFrame(frame);
   }
 }
 
@@ -184,10 +184,10 @@
   connect(address: string, events: ConnectionEvents): PeerConnection {
     const { network } = this;
     const machine = network.readMachine(address);
-    const near = new VirtualEnd(network, this.address, this.run);
-    const far = new VirtualEnd(network, address, machine.run);
-    near.other = far;
-    far.other = near;
+    const near = new ConnectionEnd(network, this.address, this.run);
+    const far = new ConnectionEnd(network, address, machine.run);
+    near.remote = far;
+    far.remote = near;
     near.events = events;
     network.after(() => this.arrive(near, far));
     return near;
@@ -195,11 +195,11 @@
 
   close(): void {}
 
-  private arrive(near: VirtualEnd, far: VirtualEnd): void {
+  private arrive(near: ConnectionEnd, far: ConnectionEnd): void {
     const { network } = this;
     const isOpen = network.isOpen(near.address, far.address) && network.isOpen(far.address, near.address);
-    // Nothing is heard of an attempt behind a cut: whoever made it gives up by itself.
-    if (near.isOver || !isOpen) return;
+    // An attempt to connect across a cut gets no response: the connecting box gives up by its own timeout.
+    if (near.isClosed || !isOpen) return;
     const machine = network.readMachine(far.address);
     const { accept } = machine;
     if (machine.state === 'killed' || accept === undefined) return near.close();
@@ -207,7 +207,7 @@
     far.isUp = true;
     network.actIn(far.address, far.run, () => (far.events = accept(far)));
     network.after(() => {
-      if (near.isOver) return;
+      if (near.isClosed) return;
       near.isUp = true;
       network.actIn(near.address, near.run, () => near.events?.onUp());
     });
--- a/packages/router/src/membership/__tests__/membership.test.ts
+++ b/packages/router/src/membership/__tests__/membership.test.ts
@@ -1,6 +1,6 @@
 /**
- * Membership of whole fleets in virtual time: who finds whom, how soon a box that does nothing for others is noticed, and
- * what it costs.
+ * Membership of whole fleets in virtual time: whether boxes discover each other, how soon a box that stopped working is
+ * detected, and what this costs.
  */
 import { AGGREGATOR_CANDIDATES_PER_HALL } from '../fleetDirectory.js';
 import type { FleetPlan, VirtualBox } from '../__fixtures__/virtualFleet.js';
@@ -10,18 +10,18 @@
 const MIDDLE: FleetPlan = { boxes: 195, halls: 6, seed: 2 };
 const LARGE: FleetPlan = { boxes: 590, halls: 15, seed: 3 };
 const SIZES = [SMALL, MIDDLE, LARGE];
-/** Time for a fleet that starts together to be complete. */
+/** Time after which a fleet that starts at once is fully connected. */
 const SETTLED_S = 8;
-/** A box that just started takes its share of the fleet's budget for retries after this. */
+/** A box that has just started takes its share of the fleet's retry budget after this. */
 const COUNTED_S = 5;
-/** A box that does nothing for others has to be noticed within this. */
-const NOTICED_S = 2.5;
-/** A watcher may itself be among many that stop at once: others take over. */
-const MANY_NOTICED_S = 5;
-/** What control may cost a box. */
-const BYTES_PER_S = 4_000;
+/** A box that stopped working has to be detected within this. */
+const DETECTED_S = 2.5;
+/** The same if many stop at once: the boxes that monitor one may be among them, and others take over. */
+const MANY_DETECTED_S = 5;
+/** Limit of a box's control traffic. */
+const MAX_BYTES_PER_S = 4_000;
 
-/** Boxes of its hall that a box would let speak, or follow the platform. */
+/** Boxes of its hall that a box accepts as aggregators or as watchers of the platform. */
 const listPartners = (box: VirtualBox): string[] =>
   box.mesh
     .listReachable()
@@ -29,15 +29,15 @@
     .map((heartbeat) => heartbeat.address)
     .sort();
 
-/** Halls of which a box hears the speakers. */
-const listHallsHeard = (box: VirtualBox): Set<string> =>
+/** Halls of whose boxes this box receives heartbeats. */
+const listReachableHalls = (box: VirtualBox): Set<string> =>
   new Set(box.mesh.listReachable().map((heartbeat) => heartbeat.hall));
 
 function listHallNames(fleet: VirtualFleet): string[] {
   return [...new Set(fleet.boxes.map((box) => box.hall))];
 }
 
-/** Every running box counts on just those of its hall that run; fails with the first that does not. */
+/** Expects every running box to reach exactly the other running boxes of its hall. */
 function expectHallsComplete(fleet: VirtualFleet): void {
   for (const box of fleet.listRunning()) {
     const others = fleet.listHall(box.hall).filter((other) => other !== box);
@@ -45,20 +45,20 @@
   }
 }
 
-/** In each hall someone hears a speaker of every other hall that has a running box. */
+/** Expects some box of each hall to reach a box of every other hall that has a running box. */
 function expectHallsJoined(fleet: VirtualFleet): void {
   const halls = listHallNames(fleet).filter((hall) => fleet.listHall(hall).length > 0);
   for (const hall of halls) {
-    const heard = new Set(fleet.listHall(hall).flatMap((box) => [...listHallsHeard(box)]));
-    for (const other of halls) if (other !== hall) expect(heard).toContain(other);
+    const reached = new Set(fleet.listHall(hall).flatMap((box) => [...listReachableHalls(box)]));
+    for (const other of halls) if (other !== hall) expect(reached).toContain(other);
   }
 }
 
 test.each(SIZES)(
-  'a fleet of $boxes boxes in $halls halls finds itself, misses a box and takes it back',
+  'boxes of a fleet of $boxes in $halls halls discover each other, detect a stopped box and accept it back',
   async (plan) => {
     const fleet = await VirtualFleet.create(plan);
-    // Every box knows how many there are before it takes its share of what all have together.
+    // Every box knows the size of the fleet before it takes its share of a common budget.
     await fleet.run(COUNTED_S);
     for (const box of fleet.boxes) expect(box.mesh.countBoxes()).toBe(plan.boxes);
     await fleet.run(SETTLED_S - COUNTED_S);
@@ -66,18 +66,18 @@
     expectHallsJoined(fleet);
 
     const victim = fleet.boxes[1]!;
-    fleet.stop(victim, 'dark');
-    await fleet.run(NOTICED_S);
+    fleet.stop(victim, 'poweredOff');
+    await fleet.run(DETECTED_S);
     expectHallsComplete(fleet);
 
-    // It was found to be down in its former life, which says nothing about the present one.
+    // It was declared down in its former incarnation, which does not apply to the current one.
     fleet.restart(victim);
     await fleet.run(3);
     expectHallsComplete(fleet);
   },
 );
 
-test('a fleet that starts together is whole within a second, also where boxes start before their seeds', async () => {
+test('a fleet that starts at once is fully connected within a second, even if boxes start before their seeds', async () => {
   const fleet = await VirtualFleet.create(MIDDLE);
   await fleet.run(1);
   expectHallsComplete(fleet);
@@ -91,7 +91,7 @@
     await fleet.run(SETTLED_S);
   });
 
-  test('in peace nobody is held for down, also when boxes are late by a quarter of a second', async () => {
+  test('without faults no box is declared down, even if boxes are late by a quarter of a second', async () => {
     for (let round = 0; round < 20; round += 1) {
       const late = fleet.boxes.filter((_, at) => at % 7 === round % 7);
       for (const box of late) fleet.network.setState(box.address, 'paused');
@@ -102,26 +102,26 @@
     }
   });
 
-  test('a box that hangs is noticed, and counts again as soon as it goes on', async () => {
+  test('a box that hangs is detected, and is accepted again as soon as it resumes', async () => {
     const victim = fleet.boxes[2]!;
     fleet.network.setState(victim.address, 'paused');
-    await fleet.run(NOTICED_S);
+    await fleet.run(DETECTED_S);
     for (const box of fleet.listHall(victim.hall)) expect(listPartners(box)).not.toContain(victim.address);
     fleet.network.setState(victim.address, 'running');
     await fleet.run(2);
     expectHallsComplete(fleet);
-    // It was not running itself: it blames nobody for the silence that it saw.
+    // It was not running itself, so it declares no box down whose acks it missed.
     expect(victim.downAtMs.size).toBe(0);
   });
 
   test.each([
-    ['nothing reaches it', (victim: string) => (_from: string, to: string) => to === victim],
-    ['nothing comes from it', (victim: string) => (from: string) => from === victim],
+    ['incoming', (victim: string) => (_from: string, to: string) => to === victim],
+    ['outgoing', (victim: string) => (from: string) => from === victim],
     ['both', (victim: string) => (from: string, to: string) => from === victim || to === victim],
-  ])('a box whose links are cut (%s) is noticed, and counts again afterwards', async (_name, cutOf) => {
+  ])('a box whose links are cut (%s) is detected, and is accepted again afterwards', async (_name, cutOf) => {
     const victim = fleet.boxes[3]!;
     fleet.network.cut(cutOf(victim.address));
-    await fleet.run(NOTICED_S);
+    await fleet.run(DETECTED_S);
     for (const box of fleet.listHall(victim.hall)) {
       if (box !== victim) expect(listPartners(box)).not.toContain(victim.address);
     }
@@ -130,34 +130,34 @@
     expectHallsComplete(fleet);
   });
 
-  test('a box that hears nobody blames nobody', async () => {
+  test('a box that is cut off from all others declares no box down', async () => {
     const victim = fleet.boxes[4]!;
     fleet.network.cut((from, to) => from === victim.address || to === victim.address);
     await fleet.run(6);
     expect(victim.downAtMs.size).toBe(0);
   });
 
-  test('when both speakers of each hall lose power others speak in time, at home and away', async () => {
+  test('when both aggregators of each hall lose power, others take over in time, within halls and between them', async () => {
     const stopped: string[] = [];
     for (const hall of listHallNames(fleet)) {
       const addresses = fleet.listHall(hall).map((box) => box.address);
       stopped.push(...addresses.sort((a, b) => fleet.rank(a) - fleet.rank(b)).slice(0, 2));
     }
-    for (const address of stopped) fleet.stop(fleet.find(address), 'dark');
-    await fleet.run(NOTICED_S);
+    for (const address of stopped) fleet.stop(fleet.find(address), 'poweredOff');
+    await fleet.run(DETECTED_S);
     expectHallsComplete(fleet);
     expectHallsJoined(fleet);
-    // A moment later nobody tells loads to those that spoke before.
+    // Half a second later no box sends its loads to the stopped aggregators any more.
     await fleet.run(0.5);
     for (const box of fleet.listRunning()) {
       for (const heartbeat of box.mesh.listReachable()) expect(stopped).not.toContain(heartbeat.address);
     }
   });
 
-  test('a third of the boxes lose power at once and return', async () => {
+  test('a third of the boxes lose power at once and restart', async () => {
     const victims = fleet.boxes.filter((_, at) => at % 3 === 1);
-    for (const victim of victims) fleet.stop(victim, 'dark');
-    await fleet.run(MANY_NOTICED_S);
+    for (const victim of victims) fleet.stop(victim, 'poweredOff');
+    await fleet.run(MANY_DETECTED_S);
     expectHallsComplete(fleet);
     expectHallsJoined(fleet);
     for (const victim of victims) fleet.restart(victim);
@@ -166,7 +166,7 @@
     expectHallsJoined(fleet);
   });
 
-  test('all processes are killed at once: the fleet is whole soon after they are back', async () => {
+  test('the fleet is fully connected soon after all processes are killed at once and restarted', async () => {
     for (const box of fleet.boxes) fleet.stop(box, 'killed');
     await fleet.run(1);
     for (const box of fleet.boxes) fleet.restart(box);
@@ -196,9 +196,9 @@
     for (const box of fleet.boxes) expect(box.mesh.countBoxes()).toBe(395);
   });
 
-  test('a box finds the fleet while none of the seeds lives, once a box that knew it does', async () => {
+  test('a box finds the fleet while no seed is running, through a box that knew it', async () => {
     const seeds = fleet.boxes.filter((box) => fleet.isSeed(box.address));
-    for (const seed of seeds) fleet.stop(seed, 'dark');
+    for (const seed of seeds) fleet.stop(seed, 'poweredOff');
     const victim = fleet.boxes.find((box) => !fleet.isSeed(box.address))!;
     fleet.stop(victim, 'killed');
     await fleet.run(2);
@@ -211,10 +211,10 @@
 test('a hall that was cut off for minutes finds the others again', async () => {
   const fleet = await VirtualFleet.create(SMALL);
   await fleet.run(SETTLED_S);
-  const isAway = (address: string): boolean => address.startsWith('10.1.');
-  fleet.network.cut((from, to) => isAway(from) !== isAway(to));
+  const isInCutHall = (address: string): boolean => address.startsWith('10.1.');
+  fleet.network.cut((from, to) => isInCutHall(from) !== isInCutHall(to));
   await fleet.run(150);
-  // Both sides still count all: what they share must not be spent twice.
+  // Both sides still count all boxes, so that the common retry budget is not spent twice.
   for (const box of fleet.boxes) expect(box.mesh.countBoxes()).toBe(SMALL.boxes);
   expectHallsComplete(fleet);
   fleet.network.cut(() => false);
@@ -233,8 +233,8 @@
   expectHallsComplete(fleet);
 });
 
-describe('what membership costs a box at rest', () => {
-  /** Links that a box made, and bytes that it sent in a second: the most of any box. */
+describe('cost of membership for an idle box', () => {
+  /** Highest number of links made and of bytes sent per second by any box. */
   const measure = async (plan: FleetPlan): Promise<{ links: number; bytesPerS: number }> => {
     const fleet = await VirtualFleet.create(plan);
     await fleet.run(12);
@@ -249,13 +249,13 @@
     };
   };
 
-  test('does not grow with the fleet, only with the hall and the number of halls', async () => {
-    // Halls of the same size: 33 boxes in each.
+  test('does not grow with the fleet, only with the size of the hall and the number of halls', async () => {
+    // All halls have the same size, 33 boxes.
     const six = await measure({ boxes: 198, halls: 6, seed: 4 });
     const twelve = await measure({ boxes: 396, halls: 12, seed: 4 });
     expect(six.links).toBe(32 + 5 * AGGREGATOR_CANDIDATES_PER_HALL);
     expect(twelve.links).toBe(32 + 11 * AGGREGATOR_CANDIDATES_PER_HALL);
-    expect(six.bytesPerS).toBeLessThan(BYTES_PER_S / 2);
-    expect(twelve.bytesPerS).toBeLessThan(BYTES_PER_S / 2);
+    expect(six.bytesPerS).toBeLessThan(MAX_BYTES_PER_S / 2);
+    expect(twelve.bytesPerS).toBeLessThan(MAX_BYTES_PER_S / 2);
   });
 });
--- a/packages/router/src/membership/failureDetector.ts
+++ b/packages/router/src/membership/failureDetector.ts
@@ -1,96 +1,97 @@
 /**
- * Finds boxes of the own hall that died, hang or are cut off, in about two seconds and at a cost that does not depend on
- * how many boxes there are: each box asks the next few on a ring for a sign of life. One that gives none is asked by way
- * of others, and if these hear nothing either the whole hall is told. The method is SWIM's (Das, Gupta, Motivala, 2002)
- * with two things of Lifeguard (Dadgar, Phillips, Currey, 2017): a box that was late itself gives the others more time,
- * and one that hears nobody blames nobody.
+ * Detects boxes of the own hall that died, hang or are cut off, in about two seconds and at a cost that does not depend on
+ * the number of boxes. Each box probes the next few boxes on a ring. If one of them sends no ack, other boxes probe it
+ * indirectly, and if they get no ack either, it is reported down to the whole hall. This is SWIM (Das, Gupta, Motivala,
+ * 2002) with two extensions of Lifeguard (Dadgar, Phillips, Currey, 2017): a box that was late itself extends the timeouts
+ * of the others, and one that receives no acks at all declares no other box down.
  *
- * No I/O and no clock: time and frames come in, effects go out.
+ * Does no I/O and reads no clock: time and frames are passed in, effects are returned.
  */
 import type { BoxDown, BoxUp, PeerFrame, Probe, ProbeAck, ProbeRequest } from '../peers/peerFrames.js';
 
-/** Pace of probes. Each goes to the next of `WATCHED_BOXES` in turn, so one of these is asked once in a second. */
-const PROBE_MS = 500;
-/** Boxes on the ring that a box watches; each box is watched by as many. Two, so that a dead watcher leaves one. */
-const WATCHED_BOXES = 2;
-/** A live box answers within a turn of its loop; even one at a third of a core that just started within this. */
-const ANSWER_MS = 400;
-/** Time for others to ask in its place: two links more, and their own turns. */
-const INDIRECT_MS = 500;
-/** Boxes that are asked to ask: one may sit behind the same fault. */
-const HELPERS = 2;
-/** A tick that comes later than this shows that this box was not running; ticks come five times as often. */
-const LATE_MS = 200;
-/** A box that heard no answer for three probes was cut off itself: what it asked meanwhile may never have arrived. */
-const CUT_OFF_MS = 3 * PROBE_MS;
-/** An old probe that nobody answered says nothing new. */
-const PROBE_LIFE_MS = 5_000;
+/** Interval between probes. They go to the `MONITORED_BOXES` in turn, so each of these is probed once a second. */
+const PROBE_INTERVAL_MS = 500;
+/** Boxes on the ring that a box monitors; as many monitor it. Two, so that one is left if the other is down. */
+const MONITORED_BOXES = 2;
+/** A live box sends an ack within one turn of its loop; this covers one that has just started on a third of a core. */
+const ACK_TIMEOUT_MS = 400;
+/** Timeout of indirect probes: they pass two more links and wait for the loops of the helpers. */
+const INDIRECT_TIMEOUT_MS = 500;
+/** Boxes that are requested to probe indirectly: one may be behind the same fault. */
+const HELPER_COUNT = 2;
+/** A gap between ticks that shows that this box was not running; the tick interval is a fifth of it. */
+const LATE_TICK_MS = 200;
+/** A box that got no ack for three probe intervals was cut off itself: its probes may never have arrived. */
+const CUT_OFF_MS = 3 * PROBE_INTERVAL_MS;
+/** Indirect probes without an ack are forgotten after this. */
+const INDIRECT_PROBE_TTL_MS = 5_000;
 
-/** What the detector wants done, or found out. */
+/** A frame that the caller has to send, or a change of a box's state. */
 export type DetectorEffect =
   | { readonly type: 'send'; readonly to: string; readonly frame: PeerFrame }
-  /** Tell every box of the hall. */
+  /** Send to every box of the hall. */
   | { readonly type: 'sendToHall'; readonly frame: PeerFrame }
-  /** The box no longer counts as one that can do anything for others. */
+  /** The box is down and must not be relied on: `unheard` if it sent no ack, `told` if another box reported it. */
   | { readonly type: 'down'; readonly address: string; readonly because: 'unheard' | 'told' }
   | { readonly type: 'up'; readonly address: string }
-  /** Others reach the box, this one does not: its link may have gone silent. */
+  /** Other boxes reach the box, this one does not: its link may be dead. */
   | { readonly type: 'reconnectLink'; readonly address: string };
 
-/** What the detector needs to know of its box. */
+/** What the detector works with. */
 export interface DetectorOptions {
-  /** Address of this box, known once it is bound. */
+  /** Address of this box, known once its listener is bound. */
   readonly readAddress: () => string;
-  /** Rank by which all boxes agree on the ring. */
+  /** Rank of an address, the same on all boxes, which orders the ring. */
   readonly rank: (address: string) => number;
-  /** Between 0 and 1; picks helpers. */
+  /** Between 0 and 1; selects helpers. */
   readonly random: () => number;
-  /** Greater than in any earlier run of this box, as far as its clock allows. */
+  /** Greater than in any earlier run of this box, unless its clock went backwards. */
   readonly firstIncarnation: number;
 }
 
-interface Suspect {
-  /** When it was asked first and gave no answer. */
-  readonly askedAtMs: number;
-  /** Sequence of that question. */
+/** A probe of this box that is still without an ack. */
+interface PendingProbe {
+  readonly sentAtMs: number;
   readonly sequence: number;
   stage: 'direct' | 'indirect';
-  /** The stage ends here unless this box was late itself. */
+  /** End of the stage, extended if this box is late itself. */
   endsAtMs: number;
 }
 
-interface ProbeForOther {
-  readonly asker: string;
-  readonly askerSequence: number;
-  readonly askedAtMs: number;
+/** A probe that this box sent on the request of another one. */
+interface IndirectProbe {
+  readonly requester: string;
+  readonly requesterSequence: number;
+  readonly sentAtMs: number;
 }
 
-/** Watches some boxes of the hall for one box. */
+/** Monitors some boxes of the hall on behalf of one box. */
 export class FailureDetector {
   private ownIncarnation: number;
   private readonly incarnations = new Map<string, number>();
-  /** Incarnation at which a box was found to be down. */
+  /** Incarnation in which a box was declared down. */
   private readonly down = new Map<string, number>();
-  /** Questions without an answer yet, by box. */
-  private readonly suspects = new Map<string, Suspect>();
-  private readonly probesForOthers = new Map<number, ProbeForOther>();
+  /** By the address of the probed box. */
+  private readonly pendingProbes = new Map<string, PendingProbe>();
+  /** By the sequence number of this box. */
+  private readonly indirectProbes = new Map<number, IndirectProbe>();
   private sequence = 0;
   private turn = 0;
   private probedAtMs = -Infinity;
   private tickedAtMs = -Infinity;
-  /** When any box last answered this one. */
-  private answeredAtMs = -Infinity;
+  /** When this box last got an ack from any box. */
+  private lastAckAtMs = -Infinity;
 
   constructor(private readonly options: DetectorOptions) {
     this.ownIncarnation = options.firstIncarnation;
   }
 
-  /** Number of this box's own life, as it tells others. */
+  /** Incarnation of this box, as it states it to others. */
   get incarnation(): number {
     return this.ownIncarnation;
   }
 
-  /** Whether a box was found to be down and did not come back since. */
+  /** Whether a box was declared down and has not come back since. */
   isDown(address: string): boolean {
     return this.down.has(address);
   }
@@ -98,73 +99,73 @@
   /**
    * Runs once a tick.
    *
-   * @param listBoxes gives the addresses of the other boxes of the hall to which a link is up
+   * @param listBoxes returns the addresses of the other boxes of the hall to which a link is up
    */
   tick(listBoxes: () => readonly string[], nowMs: number): DetectorEffect[] {
-    this.allowForOwnLateness(nowMs);
-    const isDue = [...this.suspects.values()].some((suspect) => nowMs >= suspect.endsAtMs);
-    const isProbeDue = nowMs - this.probedAtMs >= PROBE_MS;
+    this.extendIfLate(nowMs);
+    const isDue = [...this.pendingProbes.values()].some((probe) => nowMs >= probe.endsAtMs);
+    const isProbeDue = nowMs - this.probedAtMs >= PROBE_INTERVAL_MS;
     if (!isDue && !isProbeDue) return [];
     const boxes = listBoxes();
-    const effects = this.judgeSuspects(boxes, nowMs);
+    const effects = this.checkPendingProbes(boxes, nowMs);
     if (!isProbeDue) return effects;
     this.probedAtMs = nowMs;
-    this.forgetOldProbes(nowMs);
+    this.removeExpiredProbes(nowMs);
     return [...effects, ...this.probeNext(boxes, nowMs)];
   }
 
-  /** Answers a question for a sign of life. A box that others hold for down is told so, so that it can object. */
+  /** Answers a probe. A box that was declared down gets the report of that instead of an ack, so that it can refute it. */
   answerProbe(probe: Probe): ProbeAck | BoxDown {
-    const accusation = this.findDownReport(probe.address);
-    if (accusation !== undefined && accusation.incarnation >= probe.incarnation) return accusation;
-    return this.createAnswer(probe.sequence);
+    const report = this.findDownReport(probe.address);
+    if (report !== undefined && report.incarnation >= probe.incarnation) return report;
+    return this.createAck(probe.sequence);
   }
 
-  /** What others say against a box; undefined if it counts as up. */
+  /** The report that a box is down; undefined if it counts as up. */
   findDownReport(address: string): BoxDown | undefined {
     const incarnation = this.down.get(address);
     return incarnation === undefined ? undefined : { type: 'boxDown', address, incarnation };
   }
 
-  /** Takes an answer: from the box that was asked, or from a helper about it. */
-  handleProbeAck(heard: ProbeAck, nowMs: number): DetectorEffect[] {
-    if (nowMs - this.answeredAtMs > CUT_OFF_MS) this.askAllAnew(heard.address);
-    this.answeredAtMs = nowMs;
-    const forOther = this.probesForOthers.get(heard.sequence);
-    if (forOther !== undefined) {
-      this.probesForOthers.delete(heard.sequence);
-      const frame: ProbeAck = { ...heard, sequence: forOther.askerSequence, isRelayed: true };
-      return [{ type: 'send', to: forOther.asker, frame }];
+  /** Handles an ack from a probed box, sent by itself or relayed by a helper. */
+  handleProbeAck(ack: ProbeAck, nowMs: number): DetectorEffect[] {
+    if (nowMs - this.lastAckAtMs > CUT_OFF_MS) this.dropOtherProbes(ack.address);
+    this.lastAckAtMs = nowMs;
+    const indirect = this.indirectProbes.get(ack.sequence);
+    if (indirect !== undefined) {
+      this.indirectProbes.delete(ack.sequence);
+      const frame: ProbeAck = { ...ack, sequence: indirect.requesterSequence, isRelayed: true };
+      return [{ type: 'send', to: indirect.requester, frame }];
     }
-    const suspect = this.suspects.get(heard.address);
-    if (suspect === undefined || suspect.sequence !== heard.sequence) return [];
-    this.suspects.delete(heard.address);
-    const effects = this.recordIncarnation(heard.address, heard.incarnation);
-    if (heard.isRelayed) effects.push({ type: 'reconnectLink', address: heard.address });
+    const probe = this.pendingProbes.get(ack.address);
+    if (probe === undefined || probe.sequence !== ack.sequence) return [];
+    this.pendingProbes.delete(ack.address);
+    const effects = this.recordIncarnation(ack.address, ack.incarnation);
+    if (ack.isRelayed) effects.push({ type: 'reconnectLink', address: ack.address });
     return effects;
   }
 
-  /** Asks a box in the place of another one. */
+  /** Probes a box on the request of another one. */
   handleProbeRequest(request: ProbeRequest, nowMs: number): DetectorEffect[] {
     const frame = this.createProbe();
-    this.probesForOthers.set(frame.sequence, {
-      asker: request.address,
-      askerSequence: request.sequence,
-      askedAtMs: nowMs,
+    this.indirectProbes.set(frame.sequence, {
+      requester: request.address,
+      requesterSequence: request.sequence,
+      sentAtMs: nowMs,
     });
     return [{ type: 'send', to: request.target, frame }];
   }
 
-  /** A box of the hall says that another one is down. It may be this one, which then objects. */
+  /** Handles the report that a box of the hall is down. If that is this box, it refutes the report. */
   handleBoxDown(frame: BoxDown): DetectorEffect[] {
     const { address, incarnation } = frame;
-    if (address === this.options.readAddress()) return this.object(incarnation);
-    // News of an earlier life must not end the present one.
+    if (address === this.options.readAddress()) return this.refute(incarnation);
+    // The report of an earlier incarnation does not apply to the current one.
     if (incarnation < (this.incarnations.get(address) ?? 0)) return [];
     return this.markDown(address, incarnation, 'told');
   }
 
-  /** Takes note of the life that a box says it is in; a newer one than that found down brings it back. */
+  /** Records the incarnation that a box states; one newer than that declared down brings the box back up. */
   recordIncarnation(address: string, incarnation: number): DetectorEffect[] {
     if (incarnation > (this.incarnations.get(address) ?? 0)) this.incarnations.set(address, incarnation);
     const downAt = this.down.get(address);
@@ -173,74 +174,82 @@
     return [{ type: 'up', address }];
   }
 
-  /** Forgets a box of which nothing was heard for long. */
+  /** Forgets a box that was not seen for long. */
   forget(address: string): void {
     this.incarnations.delete(address);
     this.down.delete(address);
-    this.suspects.delete(address);
+    this.pendingProbes.delete(address);
   }
 
-  /** While this box stood still or was late, answers could not be read: whoever was asked gets that time on top. */
-  private allowForOwnLateness(nowMs: number): void {
+  /** While this box was paused or late it could not read acks, so the timeouts of all pending probes start again. */
+  private extendIfLate(nowMs: number): void {
     const sinceTickMs = nowMs - this.tickedAtMs;
     this.tickedAtMs = nowMs;
-    if (sinceTickMs <= LATE_MS || sinceTickMs === Infinity) return;
-    for (const suspect of this.suspects.values()) suspect.endsAtMs = nowMs + ANSWER_MS;
+    if (sinceTickMs <= LATE_TICK_MS || sinceTickMs === Infinity) return;
+    for (const probe of this.pendingProbes.values()) probe.endsAtMs = nowMs + ACK_TIMEOUT_MS;
   }
 
-  private forgetOldProbes(nowMs: number): void {
-    for (const [sequence, probe] of this.probesForOthers) {
-      if (nowMs - probe.askedAtMs > PROBE_LIFE_MS) this.probesForOthers.delete(sequence);
+  private removeExpiredProbes(nowMs: number): void {
+    for (const [sequence, probe] of this.indirectProbes) {
+      if (nowMs - probe.sentAtMs > INDIRECT_PROBE_TTL_MS) this.indirectProbes.delete(sequence);
     }
   }
 
-  private judgeSuspects(boxes: readonly string[], nowMs: number): DetectorEffect[] {
+  private checkPendingProbes(boxes: readonly string[], nowMs: number): DetectorEffect[] {
     const effects: DetectorEffect[] = [];
-    for (const [address, suspect] of this.suspects) {
-      // A link that broke says by itself that the box cannot be reached.
-      if (!boxes.includes(address)) this.suspects.delete(address);
-      else if (nowMs >= suspect.endsAtMs) effects.push(...this.advance(address, suspect, boxes, nowMs));
+    for (const [address, probe] of this.pendingProbes) {
+      // A broken link already shows that the box cannot be reached.
+      if (!boxes.includes(address)) this.pendingProbes.delete(address);
+      else if (nowMs >= probe.endsAtMs) effects.push(...this.advance(address, probe, boxes, nowMs));
     }
     return effects;
   }
 
+  /** Starts the next stage of a probe whose current stage ended without an ack. */
   private advance(
     address: string,
-    suspect: Suspect,
+    probe: PendingProbe,
     boxes: readonly string[],
     nowMs: number,
   ): DetectorEffect[] {
-    switch (suspect.stage) {
+    switch (probe.stage) {
       case 'direct':
-        suspect.stage = 'indirect';
-        suspect.endsAtMs = nowMs + INDIRECT_MS;
-        return this.askHelpers(address, suspect, boxes);
+        probe.stage = 'indirect';
+        probe.endsAtMs = nowMs + INDIRECT_TIMEOUT_MS;
+        return this.requestIndirectProbes(address, probe, boxes);
       case 'indirect':
-        if (this.answeredAtMs > suspect.askedAtMs) return this.accuse(address);
-        // Nobody answers: perhaps this box is the one that is cut off. It goes on asking and blames nobody.
-        suspect.endsAtMs = nowMs + ANSWER_MS;
+        if (this.lastAckAtMs > probe.sentAtMs) return this.declareDown(address);
+        // No box sends acks, so this box may be the one that is cut off. It keeps waiting and declares no other box down.
+        probe.endsAtMs = nowMs + ACK_TIMEOUT_MS;
         return [];
     }
   }
 
-  /** After this box was cut off itself: whoever owes an answer is asked again before being judged. */
-  private askAllAnew(answering: string): void {
-    for (const address of this.suspects.keys()) if (address !== answering) this.suspects.delete(address);
+  /** After this box was cut off, boxes whose acks are missing are probed again before they can be declared down. */
+  private dropOtherProbes(ackedBy: string): void {
+    for (const address of this.pendingProbes.keys())
+      if (address !== ackedBy) this.pendingProbes.delete(address);
   }
 
-  private askHelpers(address: string, suspect: Suspect, boxes: readonly string[]): DetectorEffect[] {
-    const able = boxes.filter((box) => box !== address && !this.suspects.has(box) && !this.isDown(box));
+  private requestIndirectProbes(
+    address: string,
+    probe: PendingProbe,
+    boxes: readonly string[],
+  ): DetectorEffect[] {
+    const helpers = boxes.filter(
+      (box) => box !== address && !this.pendingProbes.has(box) && !this.isDown(box),
+    );
     const frame: ProbeRequest = {
       type: 'probeRequest',
       address: this.options.readAddress(),
       target: address,
-      sequence: suspect.sequence,
+      sequence: probe.sequence,
     };
-    return pickSome(able, HELPERS, this.options.random).map((to) => ({ type: 'send', to, frame }));
+    return pickRandom(helpers, HELPER_COUNT, this.options.random).map((to) => ({ type: 'send', to, frame }));
   }
 
-  private accuse(address: string): DetectorEffect[] {
-    this.suspects.delete(address);
+  private declareDown(address: string): DetectorEffect[] {
+    this.pendingProbes.delete(address);
     const incarnation = this.incarnations.get(address) ?? 0;
     const frame: BoxDown = { type: 'boxDown', address, incarnation };
     return [...this.markDown(address, incarnation, 'unheard'), { type: 'sendToHall', frame }];
@@ -249,12 +258,12 @@
   private markDown(address: string, incarnation: number, because: 'unheard' | 'told'): DetectorEffect[] {
     const isNew = !this.down.has(address);
     this.down.set(address, Math.max(incarnation, this.down.get(address) ?? 0));
-    this.suspects.delete(address);
+    this.pendingProbes.delete(address);
     return isNew ? [{ type: 'down', address, because }] : [];
   }
 
-  /** This box is said to be down: in a new life it is not. */
-  private object(incarnation: number): DetectorEffect[] {
+  /** Refutes a report that this box is down, with a higher incarnation. */
+  private refute(incarnation: number): DetectorEffect[] {
     this.ownIncarnation = Math.max(this.ownIncarnation, incarnation + 1);
     const frame: BoxUp = {
       type: 'boxUp',
@@ -264,19 +273,22 @@
     return [{ type: 'sendToHall', frame }];
   }
 
-  /** Asks the next box on the ring. Those that owe an answer are passed over, so that others can show a link works. */
+  /**
+   * Probes the next box on the ring. Boxes with a pending probe are passed over, so that acks of others can show that this
+   * box is not cut off.
+   */
   private probeNext(boxes: readonly string[], nowMs: number): DetectorEffect[] {
-    const free = boxes.filter((box) => !this.isDown(box) && !this.suspects.has(box));
-    const watched = this.listNextOnRing(free);
-    const target = watched[this.turn % WATCHED_BOXES] ?? watched[0];
+    const free = boxes.filter((box) => !this.isDown(box) && !this.pendingProbes.has(box));
+    const monitored = this.listNextOnRing(free);
+    const target = monitored[this.turn % MONITORED_BOXES] ?? monitored[0];
     this.turn += 1;
     if (target === undefined) return [];
     const frame = this.createProbe();
-    this.suspects.set(target, {
-      askedAtMs: nowMs,
+    this.pendingProbes.set(target, {
+      sentAtMs: nowMs,
       sequence: frame.sequence,
       stage: 'direct',
-      endsAtMs: nowMs + ANSWER_MS,
+      endsAtMs: nowMs + ACK_TIMEOUT_MS,
     });
     return [{ type: 'send', to: target, frame }];
   }
@@ -289,7 +301,7 @@
       .sort((a, b) => a.rank - b.rank);
     const after = ordered.filter((box) => box.rank > own);
     const before = ordered.filter((box) => box.rank <= own);
-    return [...after, ...before].slice(0, WATCHED_BOXES).map((box) => box.address);
+    return [...after, ...before].slice(0, MONITORED_BOXES).map((box) => box.address);
   }
 
   private createProbe(): Probe {
@@ -302,7 +314,7 @@
     };
   }
 
-  private createAnswer(sequence: number): ProbeAck {
+  private createAck(sequence: number): ProbeAck {
     return {
       type: 'probeHeard',
       address: this.options.readAddress(),
@@ -313,8 +325,8 @@
   }
 }
 
-/** Some of a list, at random and without repetition. */
-function pickSome(list: readonly string[], count: number, random: () => number): string[] {
+/** Picks some entries of a list at random, each at most once. */
+function pickRandom(list: readonly string[], count: number, random: () => number): string[] {
   const rest = [...list];
   const picked: string[] = [];
   while (picked.length < count && rest.length > 0) {
--- a/packages/router/src/membership/hallPosition.ts
+++ b/packages/router/src/membership/hallPosition.ts
@@ -1,10 +1,10 @@
-/** Where a box stands among the live boxes of its hall, in the order on which all of them agree. */
+/** Position of a box among the live boxes of its hall, in an order that is the same on all of them. */
 import type { PeerMesh } from '../peers/peerMesh.js';
 
 /**
- * How many live boxes of the hall rank before this one.
+ * Counts the live boxes of the hall that rank before this one; 0 for the first.
  *
- * @example if (findHallPlace(mesh, 'mixco', rank) === 0) speak();
+ * @example if (findHallPosition(mesh, 'mixco', rank) === 0) sendAggregate();
  */
 export function findHallPosition(
   mesh: Pick<PeerMesh, 'address' | 'listReachable'>,
