--- a/packages/router/src/peers/configurationSchema.ts
+++ b/packages/router/src/peers/configurationSchema.ts
@@ -1,4 +1,4 @@
-/** How configurations and their changes look between boxes: the router's own records. */
+/** Schemas of configurations and their changes in frames between boxes. They match the router's records. */
 import * as z from 'zod';
 import type { CallerLimits, FleetConfiguration, Route, Service, Team } from '../records.js';
 import type { ConfigurationChange } from '../systems/configurationChange.js';
@@ -39,7 +39,7 @@
 
 const removed = z.array(z.string());
 
-/** A whole configuration. */
+/** Schema of a complete configuration. */
 export const fleetConfigurationSchema: z.ZodType<FleetConfiguration> = z.object({
   version: z.number(),
   routes: z.array(route),
@@ -48,7 +48,7 @@
   limits,
 });
 
-/** What leads from one configuration to another. */
+/** Schema of the difference between two versions of the configuration. */
 export const configurationChangeSchema: z.ZodType<ConfigurationChange> = z.object({
   from: z.number(),
   version: z.number(),
--- a/packages/router/src/peers/dispatchPeerFrame.ts
+++ b/packages/router/src/peers/dispatchPeerFrame.ts
@@ -1,4 +1,4 @@
-/** Hands what peers tell to the parts of a box that it concerns. */
+/** Dispatches frames from peers to the components that handle them. */
 import type { QuarantineRelay } from '../quarantine/quarantineRelay.js';
 import type { PromptHolders } from '../systems/promptHolders.js';
 import type { PublishedState } from '../systems/publishedState.js';
@@ -8,7 +8,7 @@
 import type { PeerFrame, RouterFrame } from './peerFrames.js';
 import type { PeerValueSync } from './peerValueSync.js';
 
-/** Who listens to peers. */
+/** Components that handle frames from peers. */
 export interface PeerFrameHandlers {
   readonly promptHolders: PromptHolders;
   readonly loadRelay: LoadRelay;
@@ -19,48 +19,41 @@
 }
 
 /**
- * Hands one frame on.
+ * Dispatches one frame to the components that handle it.
  *
- * @example dispatchPeerFrame({ type: 'valueRequest', ...question }, listeners) // the values answer it
+ * @example dispatchPeerFrame({ type: 'valueRequest', ...request }, handlers) // valueSync sends the requested value
  */
-export function dispatchPeerFrame(frame: RouterFrame, listeners: PeerFrameHandlers): void {
-  const {
-    promptHolders: homes,
-    loadRelay: loads,
-    quarantineRelay: crashNews,
-    valueSync: peerValues,
-    feedRelay: relay,
-    state,
-  } = listeners;
+export function dispatchPeerFrame(frame: RouterFrame, handlers: PeerFrameHandlers): void {
+  const { promptHolders, loadRelay, quarantineRelay, valueSync, feedRelay, state } = handlers;
   switch (frame.type) {
     case 'heartbeat':
-      homes.addReported(frame.homes);
-      loads.handleHeartbeat(frame);
-      crashNews.handleHeartbeat(frame);
-      return peerValues.handleHeartbeat(frame);
+      promptHolders.addReported(frame.homes);
+      loadRelay.handleHeartbeat(frame);
+      quarantineRelay.handleHeartbeat(frame);
+      return valueSync.handleHeartbeat(frame);
     case 'feedNotice':
-      return relay.handleNotice(frame);
+      return feedRelay.handleNotice(frame);
     case 'boxLoads':
-      return loads.handleBoxLoads(frame);
+      return loadRelay.handleBoxLoads(frame);
     case 'hallLoads':
-      return loads.handleHallLoads(frame);
+      return loadRelay.handleHallLoads(frame);
     case 'fleetLoads':
-      return loads.handleFleetLoads(frame);
+      return loadRelay.handleFleetLoads(frame);
     case 'valueRequest':
-      return peerValues.handleRequest(frame);
+      return valueSync.handleRequest(frame);
     case 'configurationValue':
       return state.adoptConfiguration(frame.configuration, 'peer');
     case 'configurationDifference':
-      return peerValues.applyConfigurationChange(frame.change);
+      return valueSync.applyConfigurationChange(frame.change);
     case 'endpointsValue':
-      return peerValues.applyEndpointsValue(frame);
+      return valueSync.applyEndpointsValue(frame);
     case 'crashNews':
-      return crashNews.handleCrashReports(frame);
+      return quarantineRelay.handleCrashReports(frame);
   }
 }
 
 /**
- * Kind of work that a frame brings.
+ * Kind of work to which the time spent on a frame is attributed.
  *
  * @example findWorkKind('hallLoads') // 'loads'
  */
--- a/packages/router/src/peers/peerFrameCodec.ts
+++ b/packages/router/src/peers/peerFrameCodec.ts
@@ -1,4 +1,4 @@
-/** Encodes and decodes the frames between boxes: CBOR with a length in front. */
+/** Encodes and decodes the frames between boxes: CBOR with a length prefix. */
 import { Err, Ok } from '@hazelwalk/core';
 import type { Problem, Result } from '@hazelwalk/core';
 import { Encoder } from 'cbor-x';
@@ -6,10 +6,13 @@
 import { peerFrameSchema } from './peerFrames.js';
 
 const LENGTH_BYTES = 4;
-/** A configuration holds at most a megabyte; the rest is small. */
+/** A configuration takes at most one megabyte; all other frames are small. */
 const MAX_FRAME_BYTES = 2_000_000;
 
-/** Fields travel as numbers: a heartbeat goes to every box several times a second. Numbers are never used again. */
+/**
+ * Fields are encoded as numbers to save bytes: a heartbeat goes to every box several times a second. The number of a
+ * removed field is never reused.
+ */
 const FIELD_NUMBERS = {
   type: 1,
   hall: 2,
@@ -52,7 +55,7 @@
 });
 
 /**
- * Encodes a frame with its length in front.
+ * Encodes a frame with its length prefix.
  *
  * @example socket.write(encodePeerFrame({ type: 'boxLoads', address: '10.0.0.1:7000', loads: [], homes: [], prompts: [] }))
  */
@@ -71,25 +74,29 @@
     return Err({
       code: 'frameMalformed',
       at: 'peer',
-      detail: parsed.error.issues[0]?.message ?? 'unknown frame',
+      detail: parsed.error.issues[0]?.message ?? 'the frame matches no known type',
     });
   } catch (error) {
     return Err({ code: 'frameMalformed', at: 'peer', detail: (error as Error).message });
   }
 }
 
-/** Collects the bytes of one link. After an error the link must be closed. */
+/** Splits the bytes received on one link into frames. After an error the link must be closed. */
 export class PeerFrameReader {
   private pending: Buffer = Buffer.alloc(0);
 
-  /** Adds a chunk; returns the frames it completed. */
+  /** Adds a chunk; returns the frames that it completes. */
   push(chunk: Buffer): Result<PeerFrame[], Problem> {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const frames: PeerFrame[] = [];
     while (this.pending.length >= LENGTH_BYTES) {
       const length = this.pending.readUInt32BE(0);
       if (length > MAX_FRAME_BYTES) {
-        return Err({ code: 'frameTooLarge', at: 'peer', detail: `${length} bytes` });
+        return Err({
+          code: 'frameTooLarge',
+          at: 'peer',
+          detail: `${length} bytes, at most ${MAX_FRAME_BYTES} are allowed`,
+        });
       }
       const end = LENGTH_BYTES + length;
       if (this.pending.length < end) break;
--- a/packages/router/src/peers/peerFrames.ts
+++ b/packages/router/src/peers/peerFrames.ts
@@ -1,13 +1,13 @@
 /**
- * What boxes tell each other: heartbeats with loads and versions, and the published values to those that lack them. How frames
- * are encoded: `peerFrameCodec.ts`.
+ * Schemas of the frames between boxes: heartbeats with loads and versions, membership, sums of loads, crash reports, and
+ * published values for boxes that lack them. `peerFrameCodec.ts` encodes the frames.
  */
 import * as z from 'zod';
 import type { ListedEndpoint } from '../records.js';
 import type { PlatformReport } from '../systems/platformConnectivity.js';
 import { configurationChangeSchema, fleetConfigurationSchema } from './configurationSchema.js';
 
-/** Lists of numbers are most of what large frames hold; the library would check each entry by a schema of its own. */
+/** Large frames consist mostly of lists of numbers. With `z.array`, zod would check each entry by a schema of its own. */
 const numberList = z.custom<number[]>(
   (value) => Array.isArray(value) && value.every((entry) => Number.isFinite(entry)),
 );
@@ -24,33 +24,33 @@
   bornMs: z.number().optional(),
 }) satisfies z.ZodType<ListedEndpoint>;
 
-/** What the sender knows of the platform; absent if it neither reads it nor is told all by a box that does. */
+/** Platform connectivity of the sender; absent if it neither reads the platform nor gets all changes from a watcher. */
 const platformReport = z
   .object({
-    /** For how long an entry that vanishes may only have lapsed. */
+    /** Remaining grace period, in which an entry that disappears may only have lapsed. */
     doubtMs: z.number().nonnegative(),
-    /** How long ago the sender was told, if it does not read the platform itself. */
+    /** Age of the report that the sender received, if it does not read the platform itself. */
     saidAgoMs: z.number().nonnegative(),
   })
   .optional() satisfies z.ZodType<PlatformReport | undefined>;
 
-/** A run of a request that ended with its endpoint. */
+/** A run of a request that was in flight when its endpoint crashed. */
 const crashedRunReport = z.object({
-  /** Names the request by its content. */
+  /** Fingerprint of the request. */
   content: z.string(),
   endpointTag: z.number(),
-  /** Names the life of the box that saw it. */
+  /** Identifies the reporter: a number that the reporting box draws at its start. */
   witness: z.number(),
-  /** When the request was sent there and when it ended, on the clock of that life. */
+  /** When the request was sent to the endpoint and when it ended, on the clock of the reporter. */
   sentAtMs: z.number(),
   endedAtMs: z.number(),
-  /** How long ago it ended. */
+  /** Time between its end and the sending of the frame. */
   endedAgoMs: z.number(),
 });
 
-/** A request that is sent to endpoints no more. */
-const condemnedRequest = z.object({
-  /** Names the request by its content. */
+/** A quarantined request, which is no longer sent to endpoints. */
+const quarantinedRequest = z.object({
+  /** Fingerprint of the request. */
   content: z.string(),
   /** How long ago it last crashed an endpoint. */
   endedAgoMs: z.number(),
@@ -60,101 +60,102 @@
   type: z.literal('heartbeat'),
   /** Hall of the sender. */
   hall: z.string(),
-  /** Whether the sender could follow the platform for its hall. */
+  /** Whether the sender can watch the platform for its hall. */
   feed: z.enum(['able', 'lost']),
   /** Bandwidth of the sender's link. */
   linkMbps: z.number(),
   /** Address at which the sender accepts peers. */
   address: z.string(),
-  /** Boxes that the sender knows of, itself included. */
+  /** Number of boxes that the sender knows of, including itself. */
   boxes: z.number(),
   /** Version of the configuration in force; 0 before the first. */
   configurationVersion: z.number(),
-  /** How new the sender's list of endpoints is: the platform's revision. */
+  /** Revision of the platform that the sender's list of endpoints reflects. */
   endpointsRevision: z.number(),
   /** Era of that revision; increases when a restore resets the revisions. Omitted by earlier versions. */
   era: z.number().default(0),
   platformReport,
-  /** Tag of an endpoint and the requests that the sender has there, in turn. */
+  /** Pairs: tag of an endpoint, number of requests that the sender has in flight there. */
   loads: numberList,
-  /** A prompt and an endpoint that holds it, in turn: what the reader may not know. */
+  /** Pairs that the receiver may not know: a prompt, tag of an endpoint that has it cached. */
   homes: numberList,
-  /** In a small fleet: what the sender was asked for since its last heartbeat. Absent if nothing, or on a new link. */
+  /** In a small fleet: prompt demand at the sender since its last heartbeat. Absent if there was none, or on a new link. */
   prompts: numberList.optional(),
-  /** Number of the sender's life: grows whenever the box starts, or objects to being held for down. */
+  /** Incarnation of the sender: increases whenever the box starts, or refutes a report that it is down. */
   incarnation: z.number(),
   /** The sender is stopping. */
   isStopping: z.boolean(),
-  /** On a link that just came up: requests that ended with their endpoints; absent if there are none. */
+  /** On a new link: runs that were in flight when their endpoints crashed; absent if there are none. */
   crashes: z.array(crashedRunReport).optional(),
-  condemned: z.array(condemnedRequest).optional(),
+  /** On a new link: quarantined requests; absent if there are none. */
+  condemned: z.array(quarantinedRequest).optional(),
 });
-const heartbeatHeard = z.object({
-  /** Sent back on the link that the heartbeat came on: proof that this link still carries something. */
+const heartbeatAck = z.object({
+  /** Sent back on the link on which a heartbeat was received, to confirm that the link works. */
   type: z.literal('heartbeatHeard'),
 });
-/** What a box knows of a hall other than the reader's. */
+/** What the sender knows of a hall other than the receiver's. */
 const hallView = z.object({
   hall: z.string(),
-  /** Boxes of that hall, as its own speaker counted them. */
+  /** Number of boxes in that hall, as counted by its own aggregator. */
   boxes: z.number(),
-  /** Boxes of that hall to turn to: its speakers; in a small fleet all that are known. */
+  /** Boxes of that hall to connect to: its aggregator candidates; in a small fleet all that are known. */
   addresses: z.array(z.string()),
-  /** How long ago a box of that hall said so. */
+  /** How long ago a box of that hall reported this. */
   ageMs: z.number(),
 });
 const introduction = z.object({
-  /** Who else is there: told to a box that joins, or that knows of fewer boxes. */
+  /** Known boxes of the fleet, for a box that joins or knows of fewer boxes. */
   type: z.literal('introduction'),
   /** Address and hall of the sender. */
   address: z.string(),
   hall: z.string(),
-  /** Boxes of the reader's hall of which the sender heard lately. */
+  /** Boxes of the receiver's hall that the sender has seen recently. */
   members: z.array(z.string()),
   halls: z.array(hallView),
 });
 const hallSummary = z.object({
-  /** The speaker of a hall tells those of the others how many its hall has and who speaks for it. */
+  /** Size and aggregator candidates of a hall, sent by these candidates to boxes of the other halls. */
   type: z.literal('hallSummary'),
   hall: z.string(),
   boxes: z.number(),
-  /** Speakers of the hall, first the one that speaks. */
+  /** Aggregator candidates of the hall; the first one aggregates. */
   addresses: z.array(z.string()),
 });
 const probe = z.object({
-  /** Asks for a sign of life. */
+  /** Requests a liveness signal. */
   type: z.literal('probe'),
-  /** Address of the box that asks. */
+  /** Address of the requester. */
   address: z.string(),
   sequence: z.number(),
   incarnation: z.number(),
 });
-const probeHeard = z.object({
+const probeAck = z.object({
   type: z.literal('probeHeard'),
-  /** Address of the box that answered. */
+  /** Address of the box that answered the probe. */
   address: z.string(),
-  /** Of the probe that is answered, as the reader numbered it. */
+  /** Sequence number that the receiver gave to the probe. */
   sequence: z.number(),
   incarnation: z.number(),
-  /** The answer came to another box, which passes it on. */
+  /** Whether the answer went to another box, which relays it. */
   isRelayed: z.boolean(),
 });
 const probeRequest = z.object({
-  /** Asks the reader to probe a box of which the sender hears nothing. */
+  /** Asks the receiver to probe a box that does not answer the sender. */
   type: z.literal('probeRequest'),
   address: z.string(),
   target: z.string(),
   sequence: z.number(),
 });
 const boxDown = z.object({
-  /** A box of the hall gives no sign of life. */
+  /** Reports that a box of the hall is down. */
   type: z.literal('boxDown'),
   address: z.string(),
-  /** Number of the life that has ended; a later one is not meant. */
+  /** Incarnation that is down; the report does not apply to a later one. */
   incarnation: z.number(),
 });
 const boxUp = z.object({
-  /** The sender objects to being held for down. */
+  /** Refutes a report that the sender is down. */
   type: z.literal('boxUp'),
   address: z.string(),
   incarnation: z.number(),
@@ -162,9 +163,9 @@
 const valueRequest = z.object({
   type: z.literal('valueRequest'),
   value: z.enum(['configuration', 'endpoints']),
-  /** Address of the box that asks. */
+  /** Address of the requester. */
   address: z.string(),
-  /** Version of the configuration that it has; 0 for none. */
+  /** Version of the requester's configuration; 0 for none. */
   configurationVersion: z.number(),
 });
 const configurationValue = z.object({
@@ -184,7 +185,7 @@
   endpoints: z.array(listedEndpoint),
   /** Endpoints that the sender keeps although the platform no longer lists them. */
   lapsed: z.array(listedEndpoint).default([]),
-  /** Halls whose endpoints are to get nothing new; absent where the sender's version knows of none. */
+  /** Evacuated halls, whose endpoints get no new requests; omitted by versions without evacuations. */
   evacuatedHalls: z.array(z.string()).optional(),
   /** Address of the sender. */
   address: z.string().default(''),
@@ -192,22 +193,22 @@
 });
 const feedNotice = z.object({
   type: z.literal('feedNotice'),
-  /** Address of the box that follows the platform. */
+  /** Address of the sender, which watches the platform. */
   address: z.string(),
-  /** The changes are all those after this revision. */
+  /** The notice contains all changes after this revision. */
   from: z.number(),
-  /** What the sender knows is as new as this. */
+  /** Revision of the sender's lists. */
   revision: z.number(),
   /** Era of both revisions. Omitted by earlier versions. */
   era: z.number().default(0),
-  /** For so long an entry that vanishes may only have lapsed. */
+  /** Remaining grace period, in which an entry that disappears may only have lapsed. */
   unsettledMs: z.number(),
   configurationVersion: z.number(),
-  /** What the whole configuration takes to send, about. */
+  /** Approximate size of the complete configuration in characters. */
   configurationChars: z.number(),
-  /** Little changed in the configuration lately: what did is told on request. */
+  /** Whether the last change of the configuration is small; it is then sent on request. */
   isConfigurationChangeSmall: z.boolean(),
-  /** What changed in the configuration since the sender's last notice, unless that is large. */
+  /** Change of the configuration since the sender's last notice, unless it is large. */
   configurationChange: configurationChangeSchema.optional(),
   changes: z.array(
     z.discriminatedUnion('type', [
@@ -215,71 +216,71 @@
       z.object({ type: z.literal('removed'), id: z.string() }),
     ]),
   ),
-  /** Halls that were ordered to be emptied, and those for which that was taken back, as it came. */
+  /** Evacuation orders and their withdrawals, in the order in which they were published. */
   evacuations: z.array(z.object({ type: z.enum(['ordered', 'takenBack']), hall: z.string() })).default([]),
 });
-/** A prompt and an endpoint that holds it, in turn; in sums of loads, what their sender learned since the last. */
-const homeList = numberList;
-/** Tag of an endpoint and the requests there, in turn. */
+/** Pairs: a prompt, tag of an endpoint that has it cached. Sums of loads carry those learned since the previous sum. */
+const holderList = numberList;
+/** Pairs: tag of an endpoint, number of requests in flight there. */
 const loadList = numberList;
-/** What a sum of loads is made of. Boxes of earlier versions do not say it. */
+/** Coverage of a sum of loads. Omitted by earlier versions. */
 const loadCoverage = z
   .object({
-    /** Boxes whose loads are in the sum. */
+    /** Number of boxes whose loads are in the sum. */
     boxes: z.number(),
-    /** How old the oldest of them was when the sum was sent. */
+    /** Age of the oldest of these loads when the sum was sent. */
     ageMs: z.number().nonnegative(),
   })
   .optional();
-/** A prompt and how often it was asked for, in turn. Boxes of earlier versions do not say it. */
+/** Pairs: a prompt, number of requests for it. Omitted by earlier versions. */
 const promptCounts = numberList.default([]);
 const boxLoads = z.object({
   type: z.literal('boxLoads'),
-  /** Address of the box that holds these loads. */
+  /** Address of the box whose loads these are. */
   address: z.string(),
   loads: loadList,
-  homes: homeList,
-  /** What the box was asked for since its last such frame. */
+  homes: holderList,
+  /** Prompt demand at the box since its last frame of this type. */
   prompts: promptCounts,
 });
 const hallLoads = z.object({
   type: z.literal('hallLoads'),
-  /** Hall whose boxes hold these loads together. */
+  /** Hall whose boxes' loads are summed. */
   hall: z.string(),
   loads: loadList,
   coverage: loadCoverage,
-  homes: homeList,
-  /** What these boxes were asked for within a second, where it was more than once. */
+  homes: holderList,
+  /** Prompts that were requested at these boxes more than once within a second. */
   prompts: promptCounts,
 });
 const fleetLoads = z.object({
   type: z.literal('fleetLoads'),
-  /** What all boxes hold, the reader included. */
+  /** Sum of the loads of all boxes, including the receiver. */
   loads: loadList,
   coverage: loadCoverage,
-  homes: homeList,
-  /** Prompts that are hot in the fleet, with requests a second. */
+  homes: holderList,
+  /** Prompts that are hot in the fleet, with requests per second. */
   prompts: promptCounts,
-  /** Ranks of the boxes of the hall to whom the reader passes this on. */
+  /** Ranks of the boxes of the hall to which the receiver relays the frame. */
   passTo: numberList,
 });
-const crashNews = z.object({
+const crashReports = z.object({
   type: z.literal('crashNews'),
-  /** How often it was passed on before. */
+  /** How often the reports were relayed before. */
   hops: z.number(),
   crashes: z.array(crashedRunReport),
-  condemned: z.array(condemnedRequest),
-  /** Requests, by content, that an endpoint answered whole. */
+  condemned: z.array(quarantinedRequest),
+  /** Fingerprints of requests that an endpoint answered completely. */
   cleared: z.array(z.string()),
 });
-/** Checks a decoded frame. */
+/** Schema of a decoded frame. */
 export const peerFrameSchema = z.discriminatedUnion('type', [
   heartbeat,
-  heartbeatHeard,
+  heartbeatAck,
   introduction,
   hallSummary,
   probe,
-  probeHeard,
+  probeAck,
   probeRequest,
   boxDown,
   boxUp,
@@ -291,53 +292,53 @@
   boxLoads,
   hallLoads,
   fleetLoads,
-  crashNews,
+  crashReports,
 ]);
 
-/** A box's sign of life. */
+/** Liveness signal of a box, with its loads and versions. */
 export type Heartbeat = z.infer<typeof heartbeat>;
 /** What a box knows of another hall. */
 export type HallView = z.infer<typeof hallView>;
-/** Who else is there. */
+/** Known boxes of the fleet. */
 export type Introduction = z.infer<typeof introduction>;
-/** How many boxes a hall has, and who speaks for it. */
+/** Size and aggregator candidates of a hall. */
 export type HallSummary = z.infer<typeof hallSummary>;
-/** A question for a sign of life. */
+/** Request for a liveness signal. */
 export type Probe = z.infer<typeof probe>;
-/** The answer to a probe. */
-export type ProbeAck = z.infer<typeof probeHeard>;
-/** A question to probe another box. */
+/** Answer to a probe. */
+export type ProbeAck = z.infer<typeof probeAck>;
+/** Request to probe another box. */
 export type ProbeRequest = z.infer<typeof probeRequest>;
-/** Says that a box gives no sign of life. */
+/** Report that a box is down. */
 export type BoxDown = z.infer<typeof boxDown>;
-/** Says that the sender is not down. */
+/** Refutation of a report that the sender is down. */
 export type BoxUp = z.infer<typeof boxUp>;
-/** What changed in the configuration, told to a box that has an earlier version. */
+/** Change of the configuration, for a box that has an earlier version. */
 export type ConfigurationDifference = z.infer<typeof configurationDifference>;
-/** The whole list of endpoints. */
+/** The complete list of endpoints. */
 export type EndpointsValue = z.infer<typeof endpointsValue>;
-/** A question for a published value. */
+/** Request for a published value. */
 export type ValueRequest = z.infer<typeof valueRequest>;
-/** What a box that follows the platform tells the boxes of its hall. */
+/** Published changes, sent by a box that watches the platform to the boxes of its hall. */
 export type FeedNotice = z.infer<typeof feedNotice>;
-/** What a sum of loads is made of. */
+/** Coverage of a sum of loads: the number of boxes in it and its age. */
 export type LoadCoverage = NonNullable<z.infer<typeof loadCoverage>>;
-/** What one box has at the endpoints, told to the speakers of its hall. */
+/** Loads of one box, sent to the aggregators of its hall. */
 export type BoxLoads = z.infer<typeof boxLoads>;
-/** What a hall has at the endpoints, told to the speakers of the other halls. */
+/** Sum of the loads of a hall, sent to the aggregators of the other halls. */
 export type HallLoads = z.infer<typeof hallLoads>;
-/** What the fleet has at the endpoints, told to the boxes of a hall by its speaker. */
+/** Sum of the loads of the fleet, sent to the boxes of a hall by its aggregator. */
 export type FleetLoads = z.infer<typeof fleetLoads>;
-/** A run of a request that ended with its endpoint, as boxes tell each other. */
+/** Report of a run that was in flight when its endpoint crashed. */
 export type CrashedRunReport = z.infer<typeof crashedRunReport>;
-/** A request that is sent to endpoints no more, as boxes tell each other. */
-export type QuarantinedRequest = z.infer<typeof condemnedRequest>;
-/** What was seen of requests that may crash their endpoints. */
-export type CrashReports = z.infer<typeof crashNews>;
+/** Report of a quarantined request. */
+export type QuarantinedRequest = z.infer<typeof quarantinedRequest>;
+/** Reports on requests that may crash their endpoints. */
+export type CrashReports = z.infer<typeof crashReports>;
 /** A frame between boxes. */
 export type PeerFrame = z.infer<typeof peerFrameSchema>;
 
-/** Types of the frames about who is in the fleet and who is up. */
+/** Types of the frames about membership: which boxes are in the fleet and which are up. */
 const MEMBERSHIP_TYPES = [
   'heartbeatHeard',
   'introduction',
@@ -349,9 +350,9 @@
   'boxUp',
 ] as const satisfies readonly PeerFrame['type'][];
 
-/** A frame about who is in the fleet and who is up. */
+/** A frame about membership alone. */
 export type MembershipFrame = Extract<PeerFrame, { type: (typeof MEMBERSHIP_TYPES)[number] }>;
-/** A frame about anything else; heartbeats are about both. */
+/** Any other frame. Heartbeats are also about membership. */
 export type RouterFrame = Exclude<PeerFrame, MembershipFrame>;
 
 /**
