--- a/packages/router/src/peers/peerLinks.ts
+++ b/packages/router/src/peers/peerLinks.ts
@@ -1,49 +1,49 @@
-/** The links that a box made: kept to the addresses that it needs, made anew where they are missing or stuck. */
+/** Outgoing links of a box: one to each address that it needs, reconnected where it is missing or stuck. */
 import type { PeerFrame } from './peerFrames.js';
 import { encodePeerFrame } from './peerFrameCodec.js';
 import type { ConnectionEvents, PeerConnection, PeerTransport } from './peerTransport.js';
 
-/** Pace of attempts to reach a peer that was heard lately. */
+/** Interval between attempts to connect to a peer that was seen recently. */
 const REDIAL_MS = 1_000;
-/** The same for a box that reaches nobody yet: it may have started a moment before its seeds. */
-const LONE_REDIAL_MS = 200;
-/** Pace of attempts to reach one that was not: a hall that was cut off for long is found again within this. */
+/** The same interval while no link is up: this box may have started a moment before its seeds. */
+const ISOLATED_REDIAL_MS = 200;
+/** Interval for a peer that was not seen recently. A hall that was cut off for long is reconnected within this time. */
 const SLOW_REDIAL_MS = 15_000;
-/** A link that is not needed is kept for a moment: needs change while boxes find each other. */
-const SPARE_LINK_MS = 2_000;
-/** A link that takes no bytes for so many unsent ones is stuck. */
+/** A link is kept at least this long even if it is not needed: needs change while boxes discover each other. */
+const MIN_LINK_AGE_MS = 2_000;
+/** A link with more unsent bytes than this is stuck. */
 const MAX_UNSENT_BYTES = 262_144;
 
 interface PeerLink {
   readonly address: string;
   connection: PeerConnection | undefined;
-  readonly neededAtMs: number;
+  readonly addedAtMs: number;
   dialledAtMs: number;
-  /** When the peer last said anything on this link: it only answers there. */
-  confirmedAtMs: number;
+  /** When a frame was last received on this link. The peer sends only responses on it. */
+  lastReceivedAtMs: number;
 }
 
-/** What the links need to know. */
+/** Dependencies and callbacks of the links. */
 export interface PeerLinksOptions {
   readonly transport: PeerTransport;
   readonly now: () => number;
-  /** What to send on a link that just came up. */
+  /** Creates the first frames to send on a new link. */
   readonly createInitialFrames: (address: string) => readonly PeerFrame[];
-  /** A frame came on a link. */
-  readonly onFrame: (frame: PeerFrame, answer: (frame: PeerFrame) => void) => void;
+  /** Called for each received frame; `reply` sends a frame back on the same link. */
+  readonly onFrame: (frame: PeerFrame, reply: (frame: PeerFrame) => void) => void;
   readonly onProblem: ConnectionEvents['onProblem'];
-  /** Whether an address is worth an attempt at the fast pace. */
+  /** Whether the box at an address was seen recently, so that connecting is retried at the short interval. */
   readonly isLikelyReachable: (address: string) => boolean;
 }
 
-/** All links that one box made. */
+/** All outgoing links of one box. */
 export class PeerLinks {
   private readonly links = new Map<string, PeerLink>();
   private isClosed = false;
 
   constructor(private readonly options: PeerLinksOptions) {}
 
-  /** Addresses to which there is, or should be, a link. */
+  /** Number of addresses to which a link is up or should be. */
   get size(): number {
     return this.links.size;
   }
@@ -54,41 +54,41 @@
   }
 
   /**
-   * Makes the links that are needed and missing, and drops those that are not needed or stuck.
+   * Connects the links that are needed and missing, and closes those that are not needed or stuck.
    *
-   * @param lifeMs a link on which the peer said nothing for so long is stuck
+   * @param silenceTimeoutMs a link on which nothing was received for this long is stuck
    */
-  maintain(wanted: ReadonlySet<string>, lifeMs: number): void {
+  maintain(needed: ReadonlySet<string>, silenceTimeoutMs: number): void {
     if (this.isClosed) return;
     const nowMs = this.options.now();
-    for (const address of wanted) if (!this.links.has(address)) this.add(address);
+    for (const address of needed) if (!this.links.has(address)) this.add(address);
     for (const link of this.links.values()) {
-      if (!wanted.has(link.address)) this.dropIfSpare(link, nowMs);
+      if (!needed.has(link.address)) this.dropIfUnneeded(link, nowMs);
       else if (link.connection === undefined) this.redialIfDue(link, nowMs);
-      else if (isStuck(link, link.connection, nowMs, lifeMs)) this.breakLink(link);
+      else if (isStuck(link, link.connection, nowMs, silenceTimeoutMs)) this.closeLink(link);
     }
   }
 
-  /** Tries at once to reach a peer that was just heard, unless a link to it is up or under way. */
+  /** Connects at once to a peer that was just seen, unless a link to it is up or connecting. */
   redialNow(address: string): void {
     const link = this.links.get(address);
     if (link !== undefined && link.connection === undefined) this.dial(link);
   }
 
-  /** Makes the link to an address anew: it may have gone silent. */
+  /** Closes the link to an address and connects again, because the link may have gone silent. */
   reconnect(address: string): void {
     const link = this.links.get(address);
     if (link === undefined) return;
-    this.breakLink(link);
+    this.closeLink(link);
     this.dial(link);
   }
 
-  /** Sends an encoded frame, if the link to the address is up. */
+  /** Sends an encoded frame if the link to the address is up; closes the link if too many bytes are unsent. */
   write(address: string, packet: Buffer): void {
     const link = this.links.get(address);
     const connection = link?.connection;
     if (link === undefined || connection?.isUp !== true) return;
-    if (connection.unsentBytes > MAX_UNSENT_BYTES) this.breakLink(link);
+    if (connection.unsentBytes > MAX_UNSENT_BYTES) this.closeLink(link);
     else connection.write(packet);
   }
 
@@ -97,7 +97,7 @@
     for (const address of this.links.keys()) this.write(address, packet);
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   close(): void {
     this.isClosed = true;
     for (const link of this.links.values()) link.connection?.destroy();
@@ -107,31 +107,31 @@
     const link: PeerLink = {
       address,
       connection: undefined,
-      neededAtMs: this.options.now(),
+      addedAtMs: this.options.now(),
       dialledAtMs: -Infinity,
-      confirmedAtMs: -Infinity,
+      lastReceivedAtMs: -Infinity,
     };
     this.links.set(address, link);
     this.dial(link);
   }
 
-  private dropIfSpare(link: PeerLink, nowMs: number): void {
-    if (nowMs - link.neededAtMs < SPARE_LINK_MS) return;
+  private dropIfUnneeded(link: PeerLink, nowMs: number): void {
+    if (nowMs - link.addedAtMs < MIN_LINK_AGE_MS) return;
     this.links.delete(link.address);
-    this.breakLink(link);
+    this.closeLink(link);
   }
 
   private redialIfDue(link: PeerLink, nowMs: number): void {
-    if (nowMs - link.dialledAtMs >= this.readPaceMs(link.address)) this.dial(link);
+    if (nowMs - link.dialledAtMs >= this.readRedialIntervalMs(link.address)) this.dial(link);
   }
 
-  private readPaceMs(address: string): number {
+  private readRedialIntervalMs(address: string): number {
     if (!this.options.isLikelyReachable(address)) return SLOW_REDIAL_MS;
-    const isAlone = ![...this.links.values()].some((link) => link.connection?.isUp === true);
-    return isAlone ? LONE_REDIAL_MS : REDIAL_MS;
+    const isIsolated = ![...this.links.values()].some((link) => link.connection?.isUp === true);
+    return isIsolated ? ISOLATED_REDIAL_MS : REDIAL_MS;
   }
 
-  private breakLink(link: PeerLink): void {
+  private closeLink(link: PeerLink): void {
     const { connection } = link;
     link.connection = undefined;
     connection?.destroy();
@@ -139,15 +139,15 @@
 
   private dial(link: PeerLink): void {
     if (this.isClosed) return;
-    const { transport, createInitialFrames: createGreetings, onFrame, onProblem, now } = this.options;
+    const { transport, createInitialFrames, onFrame, onProblem, now } = this.options;
     link.dialledAtMs = now();
     const connection: PeerConnection = transport.connect(link.address, {
       onUp: () => {
-        for (const frame of createGreetings(link.address)) connection.write(encodePeerFrame(frame));
+        for (const frame of createInitialFrames(link.address)) connection.write(encodePeerFrame(frame));
       },
       onFrame: (frame) => {
-        link.confirmedAtMs = now();
-        onFrame(frame, (answer) => connection.write(encodePeerFrame(answer)));
+        link.lastReceivedAtMs = now();
+        onFrame(frame, (response) => connection.write(encodePeerFrame(response)));
       },
       onProblem,
       onClosed: () => {
@@ -158,9 +158,14 @@
   }
 }
 
-function isStuck(link: PeerLink, connection: PeerConnection, nowMs: number, lifeMs: number): boolean {
+function isStuck(
+  link: PeerLink,
+  connection: PeerConnection,
+  nowMs: number,
+  silenceTimeoutMs: number,
+): boolean {
   const ageMs = nowMs - link.dialledAtMs;
   if (!connection.isUp) return ageMs >= REDIAL_MS;
-  // An open link on which nothing is confirmed is stuck behind a cut, or went silent while others to this peer work.
-  return ageMs >= lifeMs && nowMs - link.confirmedAtMs >= lifeMs;
+  // An open link on which nothing is received is cut off from the peer, or went silent while other links to it work.
+  return ageMs >= silenceTimeoutMs && nowMs - link.lastReceivedAtMs >= silenceTimeoutMs;
 }
--- a/packages/router/src/peers/peerMesh.ts
+++ b/packages/router/src/peers/peerMesh.ts
@@ -1,6 +1,7 @@
 /**
- * Links to the other boxes. Each box sends on the links it made and hears on those made to it; an answer comes back on
- * the link of its question. The directory decides who needs a link to whom, the failure detector who is down.
+ * Links to the other boxes. A box sends on its outgoing links and receives on the links that it has accepted; a response
+ * is sent on the link on which its request was received. The directory decides to which boxes a link is needed, the
+ * failure detector which boxes are down.
  */
 import type { Problem } from '@hazelwalk/core';
 import type { DetectorEffect } from '../membership/failureDetector.js';
@@ -12,65 +13,65 @@
 import { PeerLinks } from './peerLinks.js';
 import type { ConnectionEvents, PeerConnection, PeerTransport } from './peerTransport.js';
 
-/** Pace of heartbeats in a small fleet. */
+/** Minimum interval between heartbeats in a small fleet. */
 const HEARTBEAT_MS = 300;
-/** Heartbeats slow down with the boxes that get them, so that a box's control traffic does not grow with the fleet. */
+/** Interval per box of the fleet: heartbeats become rarer as it grows, so that a box's control traffic does not grow. */
 const HEARTBEAT_MS_PER_BOX = 30;
-/** Pace of the sparse heartbeats of a larger fleet, for each box that gets them and at least. */
+/** Interval between the less frequent heartbeats of a larger fleet: per link, and its minimum. */
 const SPARSE_HEARTBEAT_MS_PER_BOX = 60;
 const SPARSE_HEARTBEAT_MS = 5_000;
-/** A peer that missed so many heartbeats no longer counts its load, and its link is made anew. */
+/** Missed heartbeats after which the load of a peer no longer counts and the link to it is reconnected. */
 const MISSED_HEARTBEATS = 8;
 const MISSED_SPARSE_HEARTBEATS = 3;
-/** What a peer that is silent for so long said last is forgotten. */
-const PEER_LIFE_MS = 120_000;
-/** Pace at which links are made and dropped where no news says so at once. */
+/** Time without a heartbeat after which a peer and its last heartbeat are forgotten. */
+const PEER_RETENTION_MS = 120_000;
+/** Interval at which links are connected and dropped, unless a received frame requires it at once. */
 const MAINTAIN_MS = 250;
-/** Every so many heartbeats one peer is told who is there, also if it knows of as many others. */
+/** Number of heartbeats between introductions to one random peer, which may know of as many boxes as this one. */
 const INTRODUCE_EVERY = 8;
-/** A summary goes out whenever it changes, and with every so many heartbeats, so that its age tells little. */
+/** Number of heartbeats after which a summary is sent even if it has not changed, so that its age stays low. */
 const SUMMARY_EVERY = 4;
-/** One peer that knows fewer boxes is told of the others in this time: news spread in seconds and cost little. */
-const TELL_MS = 300;
-/** A change of other halls is told to the own hall at most this often. */
-const TELL_HALLS_MS = 2_000;
+/** Minimum time between introductions to peers that know of fewer boxes: updates spread in seconds at little cost. */
+const INTRODUCTION_MS = 300;
+/** Minimum time between updates about other halls to the own hall. */
+const HALLS_UPDATE_MS = 2_000;
 
-/** What the mesh tells. */
+/** Callbacks of the mesh. */
 export interface PeerMeshHandlers {
-  /** What to say on a link that just came up. */
+  /** Creates the first heartbeat on a new link. */
   readonly createHeartbeat: () => Heartbeat;
-  /** Called for every frame that is read. */
+  /** Called for every frame that is received. */
   readonly onFrameRead: (type: PeerFrame['type']) => void;
-  /** Frames that are not about membership, and heartbeats. */
+  /** Called for heartbeats and for frames that are not about membership. */
   readonly onFrame: (frame: RouterFrame) => void;
   readonly onProblem: (problem: Problem) => void;
-  /** A box of the own hall was found to be down, or is back. */
-  readonly onStateChange: (address: string, standing: 'down' | 'up', because: string) => void;
+  /** Called when a box of the own hall is found to be down, and when it is up again. */
+  readonly onStateChange: (address: string, state: 'down' | 'up', because: string) => void;
 }
 
-/** What the mesh needs to know of its box. */
+/** Dependencies and settings of the mesh. */
 export interface PeerMeshOptions {
   readonly hall: string;
   readonly seeds: readonly string[];
   readonly transport: PeerTransport;
   readonly now: () => number;
-  /** Between 0 and 1. */
+  /** Returns a number between 0 and 1. */
   readonly random: () => number;
-  /** Rank of an address, by which all boxes agree on the speakers of a hall. */
+  /** Rank of an address, the same at all boxes, so that they agree on the aggregators of a hall. */
   readonly rank: (address: string) => number;
-  /** Number of this run of the box, greater than that of earlier ones. */
+  /** Incarnation number at the start of this process, greater than those of earlier runs of the box. */
   readonly firstIncarnation: number;
 }
 
-/** What is known of a peer that sent a heartbeat. */
+/** A peer that has sent a heartbeat. */
 export interface KnownPeer {
   readonly heartbeat: Heartbeat;
   readonly lastSeenAtMs: number;
 }
 
-type Answer = (frame: PeerFrame) => void;
+type Reply = (frame: PeerFrame) => void;
 
-/** All links of one box. */
+/** The links, known peers and failure detection of one box. */
 export class PeerMesh {
   private readonly peers = new Map<string, KnownPeer>();
   private readonly directory: FleetDirectory;
@@ -81,10 +82,10 @@
   private ownAddress = '';
   private maintainedAtMs = -Infinity;
   private introducedAtMs = -Infinity;
-  private toldHallsAtMs = -Infinity;
-  private toldHallsRevision = 0;
-  /** Speakers of the own hall and its boxes as the other halls were told last. */
-  private toldSummary = '';
+  private hallsSentAtMs = -Infinity;
+  private sentHallsRevision = 0;
+  /** Number of boxes and aggregator candidates of the own hall as last sent to the other halls. */
+  private sentSummary = '';
 
   constructor(
     private readonly options: PeerMeshOptions,
@@ -109,14 +110,14 @@
     this.links = new PeerLinks({
       transport,
       now,
-      createInitialFrames: (address) => this.createGreetings(address),
-      onFrame: (frame, answer) => this.handleFrame(frame, answer),
+      createInitialFrames: (address) => this.createInitialFrames(address),
+      onFrame: (frame, reply) => this.handleFrame(frame, reply),
       onProblem: (problem) => handlers.onProblem(problem),
       isLikelyReachable: (address) => this.directory.isLikelyReachable(address),
     });
   }
 
-  /** Binds the listener. Rejects if the address is taken. */
+  /** Binds the listener. Rejects if the address is in use. */
   async listen(host: string, port: number): Promise<void> {
     const { transport } = this.options;
     this.ownAddress = await transport.listen(host, port, (connection) => this.acceptLink(connection));
@@ -129,7 +130,7 @@
     return this.ownAddress;
   }
 
-  /** Number of this box's life. */
+  /** Incarnation number of this box. */
   get incarnation(): number {
     return this.detector.incarnation;
   }
@@ -140,30 +141,30 @@
     return Math.max(SPARSE_HEARTBEAT_MS, SPARSE_HEARTBEAT_MS_PER_BOX * this.links.size);
   }
 
-  /** Whether the fleet is small enough for every box to tell every other its loads. */
+  /** Whether the fleet is small enough for every box to link to every other box and to send it its loads. */
   get isFullMesh(): boolean {
     return this.directory.isFullMesh;
   }
 
-  /** Peers that were heard lately. */
+  /** Peers whose last heartbeat is recent. */
   listRecentlySeen(): KnownPeer[] {
-    const leastMs = this.now() - this.lifeMs;
-    return [...this.peers.values()].filter((peer) => peer.lastSeenAtMs >= leastMs);
+    const oldestMs = this.now() - this.heartbeatTimeoutMs;
+    return [...this.peers.values()].filter((peer) => peer.lastSeenAtMs >= oldestMs);
   }
 
-  /** Last heartbeats of the fresh peers to which a link is up and that are not down. */
+  /** Last heartbeats of the recently seen peers to which a link is up and that are not down. */
   listReachable(): Heartbeat[] {
     return this.listRecentlySeen()
       .map((peer) => peer.heartbeat)
       .filter(({ address }) => this.links.isUp(address) && !this.detector.isDown(address));
   }
 
-  /** Whether this box has heard of another one, or was told that there is none. */
+  /** Whether this box has received a heartbeat of a peer, or its seeds name no other box. */
   get hasJoinedFleet(): boolean {
     return this.peers.size > 0 || this.options.seeds.every((seed) => seed === this.ownAddress);
   }
 
-  /** Boxes of the own hall that were heard of lately, up or not, this one left out. */
+  /** Addresses of the known peers of the own hall, whether up or down. */
   listHallPeers(): string[] {
     const { hall } = this.options;
     return [...this.peers.values()]
@@ -171,39 +172,39 @@
       .map(({ heartbeat }) => heartbeat.address);
   }
 
-  /** Boxes of the fleet, this one included, as far as it knows; seeds count even before they are heard. */
+  /** Number of known boxes of the fleet, including this one; seeds count even before their first heartbeat. */
   countBoxes(): number {
     return this.directory.countBoxes();
   }
 
-  /** Links that this box made or tries to make. */
+  /** Number of outgoing links, including those that are not up yet. */
   get linkCount(): number {
     return this.links.size;
   }
 
-  /** Runs once a tick of the loop. */
+  /** Runs once per tick of the loop. */
   tick(): void {
     const nowMs = this.now();
     if (nowMs - this.maintainedAtMs >= MAINTAIN_MS) this.maintainLinks();
     if (!this.isFullMesh) this.apply(this.detector.tick(() => this.listHallLinks(), nowMs));
   }
 
-  /** Sends a heartbeat to all peers, and what is due beside it. */
+  /** Sends a heartbeat to all peers, and an introduction or a summary when one is due. */
   broadcast(heartbeat: Heartbeat): void {
     this.maintainLinks();
     this.links.writeToAll(encodePeerFrame(heartbeat));
     this.heartbeatCount += 1;
-    if (this.heartbeatCount % INTRODUCE_EVERY === 1) this.introduceToOne();
+    if (this.heartbeatCount % INTRODUCE_EVERY === 1) this.introduceToRandomPeer();
     if (this.heartbeatCount % SUMMARY_EVERY === 0 && !this.isFullMesh)
-      this.tellSummary(this.directory.createSummary());
+      this.sendSummary(this.directory.createSummary());
   }
 
-  /** Sends a frame to the box at an address, if there is a link to it. */
+  /** Sends a frame to the box at an address, if a link to it is up. */
   send(address: string, frame: PeerFrame): void {
     if (this.links.isUp(address)) this.links.write(address, encodePeerFrame(frame));
   }
 
-  /** Sends a frame to those of some boxes to which there is a link; it is encoded once. */
+  /** Sends a frame to those of the given boxes to which a link is up; the frame is encoded once. */
   sendToEach(addresses: readonly string[], frame: PeerFrame): void {
     const packet = encodePeerFrame(frame);
     for (const address of addresses) this.links.write(address, packet);
@@ -223,12 +224,12 @@
     this.options.transport.close();
   }
 
-  /** How long a peer counts as heard: so many of its heartbeats may be missed. */
-  private get lifeMs(): number {
+  /** Time without a heartbeat after which a peer no longer counts as recently seen. */
+  private get heartbeatTimeoutMs(): number {
     return (this.isFullMesh ? MISSED_HEARTBEATS : MISSED_SPARSE_HEARTBEATS) * this.heartbeatIntervalMs;
   }
 
-  /** Boxes of the own hall to which a link is up, also those found to be down. */
+  /** Boxes of the own hall to which a link is up, including those found to be down. */
   private listHallLinks(): string[] {
     return this.listHallPeers().filter((address) => this.links.isUp(address));
   }
@@ -238,65 +239,65 @@
     const nowMs = this.now();
     this.maintainedAtMs = nowMs;
     this.forgetSilent(nowMs);
-    this.links.maintain(new Set(this.directory.listLinkTargets()), this.lifeMs);
+    this.links.maintain(new Set(this.directory.listLinkTargets()), this.heartbeatTimeoutMs);
     if (this.isFullMesh) return;
     const summary = this.directory.createSummary();
-    if (summarize(summary) !== this.toldSummary) this.tellSummary(summary);
-    this.tellHallsIfNew();
+    if (summarize(summary) !== this.sentSummary) this.sendSummary(summary);
+    this.sendHallsIfChanged();
   }
 
-  /** Boxes that are replaced leave nothing behind; one that returns after so long is taken as a new one. */
+  /** Removes the state of boxes that were replaced. A box that returns after that long counts as new. */
   private forgetSilent(nowMs: number): void {
     for (const [address, peer] of this.peers) {
-      if (nowMs - peer.lastSeenAtMs <= PEER_LIFE_MS) continue;
+      if (nowMs - peer.lastSeenAtMs <= PEER_RETENTION_MS) continue;
       this.peers.delete(address);
       this.detector.forget(address);
     }
   }
 
-  /** A box of another hall learns at once who speaks for this one. */
-  private createGreetings(address: string): PeerFrame[] {
+  /** First frames on a new link. A box of another hall also receives the aggregator candidates of this hall. */
+  private createInitialFrames(address: string): PeerFrame[] {
     const heartbeat = this.handlers.createHeartbeat();
     if (this.isFullMesh || !this.directory.isInOtherHall(address)) return [heartbeat];
     const summary = this.directory.createSummary();
     return summary.addresses.includes(this.ownAddress) ? [heartbeat, summary] : [heartbeat];
   }
 
-  private introduceToOne(): void {
+  private introduceToRandomPeer(): void {
     const peers = this.listReachable();
     const peer = peers[Math.floor(this.options.random() * peers.length)];
     if (peer !== undefined) this.send(peer.address, this.directory.createIntroduction(peer.hall));
   }
 
-  /** Those that speak for a hall, or may have to, tell the other halls how many its boxes are and who speaks. */
-  private tellSummary(summary: HallSummary): void {
-    this.toldSummary = summarize(summary);
+  /** Sends the other halls the size and the aggregator candidates of this hall, if this box is one of them. */
+  private sendSummary(summary: HallSummary): void {
+    this.sentSummary = summarize(summary);
     if (!summary.addresses.includes(this.ownAddress)) return;
     for (const { heartbeat } of this.peers.values()) {
       if (heartbeat.hall !== this.options.hall) this.send(heartbeat.address, summary);
     }
   }
 
-  /** The first box of a hall tells the others what is new of the other halls. */
-  private tellHallsIfNew(): void {
+  /** Sends updates about other halls to the own hall, if this box is the first of its hall. */
+  private sendHallsIfChanged(): void {
     const nowMs = this.now();
     const { hallsRevision } = this.directory;
-    if (hallsRevision === this.toldHallsRevision || nowMs - this.toldHallsAtMs < TELL_HALLS_MS) return;
+    if (hallsRevision === this.sentHallsRevision || nowMs - this.hallsSentAtMs < HALLS_UPDATE_MS) return;
     if (this.directory.findPosition() !== 0) return;
-    this.toldHallsAtMs = nowMs;
-    this.toldHallsRevision = hallsRevision;
+    this.hallsSentAtMs = nowMs;
+    this.sentHallsRevision = hallsRevision;
     const { hall } = this.options;
     this.sendToHall(hall, this.directory.createIntroduction(hall));
   }
 
   private acceptLink(connection: PeerConnection): ConnectionEvents {
-    const answer = (frame: PeerFrame): void => connection.write(encodePeerFrame(frame));
+    const reply = (frame: PeerFrame): void => connection.write(encodePeerFrame(frame));
     let isFirst = true;
     return {
       onUp: () => {},
       onFrame: (frame) => {
-        this.handleFrame(frame, answer);
-        if (frame.type === 'heartbeat') this.answerHeartbeat(frame, answer, isFirst);
+        this.handleFrame(frame, reply);
+        if (frame.type === 'heartbeat') this.answerHeartbeat(frame, reply, isFirst);
         isFirst = false;
       },
       onProblem: (problem) => this.handlers.onProblem(problem),
@@ -304,28 +305,31 @@
     };
   }
 
-  /** Who joins, or knows of fewer boxes, is told who is there; not every box starts with a seed that lives. */
-  private answerHeartbeat(heartbeat: Heartbeat, answer: Answer, isFirst: boolean): void {
+  /**
+   * Answers a heartbeat: a sender that joins or knows of fewer boxes receives an introduction, since not every box starts
+   * with a live seed; any other an acknowledgement.
+   */
+  private answerHeartbeat(heartbeat: Heartbeat, reply: Reply, isFirst: boolean): void {
     const nowMs = this.now();
-    const isBehind = heartbeat.boxes < this.countBoxes() && nowMs - this.introducedAtMs >= TELL_MS;
-    if (!isFirst && !isBehind) return answer({ type: 'heartbeatHeard' });
+    const isBehind = heartbeat.boxes < this.countBoxes() && nowMs - this.introducedAtMs >= INTRODUCTION_MS;
+    if (!isFirst && !isBehind) return reply({ type: 'heartbeatHeard' });
     this.introducedAtMs = nowMs;
-    answer(this.directory.createIntroduction(heartbeat.hall));
+    reply(this.directory.createIntroduction(heartbeat.hall));
   }
 
-  /** @param answer sends a frame back on the connection on which this one came */
-  private handleFrame(frame: PeerFrame, answer: Answer): void {
+  /** @param reply sends a frame back on the connection on which this one was received */
+  private handleFrame(frame: PeerFrame, reply: Reply): void {
     this.handlers.onFrameRead(frame.type);
-    if (isMembershipFrame(frame)) return this.handleMembership(frame, answer);
-    if (frame.type === 'heartbeat') this.noteHeartbeat(frame, answer);
+    if (isMembershipFrame(frame)) return this.handleMembership(frame, reply);
+    if (frame.type === 'heartbeat') this.recordHeartbeat(frame, reply);
     this.handlers.onFrame(frame);
   }
 
-  private handleMembership(frame: MembershipFrame, answer: Answer): void {
+  private handleMembership(frame: MembershipFrame, reply: Reply): void {
     const nowMs = this.now();
     switch (frame.type) {
       case 'heartbeatHeard':
-        // Counts for the link that it came on, which has noted it.
+        // Nothing to do: the link on which it was received has already recorded it.
         return;
       case 'introduction':
         this.directory.handleIntroduction(frame);
@@ -333,7 +337,7 @@
       case 'hallSummary':
         return this.directory.handleSummary(frame);
       case 'probe':
-        answer(this.detector.answerProbe(frame));
+        reply(this.detector.answerProbe(frame));
         return this.apply(this.detector.recordIncarnation(frame.address, frame.incarnation));
       case 'probeHeard':
         return this.apply(this.detector.handleProbeAck(frame, nowMs));
@@ -346,16 +350,16 @@
     }
   }
 
-  private noteHeartbeat(heartbeat: Heartbeat, answer: Answer): void {
+  private recordHeartbeat(heartbeat: Heartbeat, reply: Reply): void {
     const { address, incarnation } = heartbeat;
-    const before = this.peers.get(address)?.heartbeat.incarnation ?? incarnation;
+    const previousIncarnation = this.peers.get(address)?.heartbeat.incarnation ?? incarnation;
     this.directory.markSeen(heartbeat);
     this.peers.set(address, { heartbeat, lastSeenAtMs: this.now() });
     this.apply(this.detector.recordIncarnation(address, incarnation));
-    const accusation = this.detector.findDownReport(address);
-    if (accusation !== undefined) answer(accusation);
-    // A peer that started again is there before the next attempt to reach it, and has no use for a link to its past.
-    if (incarnation > before) this.links.reconnect(address);
+    const downReport = this.detector.findDownReport(address);
+    if (downReport !== undefined) reply(downReport);
+    // A restarted peer is reachable before the next attempt to connect, and links to its previous incarnation are dead.
+    if (incarnation > previousIncarnation) this.links.reconnect(address);
     else this.links.redialNow(address);
   }
 
--- a/packages/router/src/peers/peerTransport.ts
+++ b/packages/router/src/peers/peerTransport.ts
@@ -1,16 +1,16 @@
-/** Connections between boxes as the mesh sees them, and the real ones over TCP. */
+/** Interface of the connections between boxes, and its implementation over TCP. */
 import { connect, createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
 import type { Problem } from '@hazelwalk/core';
 import type { PeerFrame } from './peerFrames.js';
 import { PeerFrameReader } from './peerFrameCodec.js';
 
-/** What happens on a connection. After `onClosed` nothing more comes. */
+/** Callbacks of a connection. None is called after `onClosed`. */
 export interface ConnectionEvents {
-  /** It came up. Not called for accepted ones, which are up from the start. */
+  /** The connection is established. Not called for accepted connections, which are up from the start. */
   readonly onUp: () => void;
   readonly onFrame: (frame: PeerFrame) => void;
-  /** Bytes that are no frame; the connection ends. */
+  /** The received bytes are not a valid frame. The connection is closed. */
   readonly onProblem: (problem: Problem) => void;
   readonly onClosed: () => void;
 }
@@ -18,29 +18,29 @@
 /** One connection to another box. */
 export interface PeerConnection {
   readonly isUp: boolean;
-  /** Bytes that the other end did not take yet. */
+  /** Bytes in the send buffer that the other end has not accepted yet. */
   readonly unsentBytes: number;
   /** Sends an encoded frame; does nothing on a closed connection. */
   write(packet: Buffer): void;
-  /** Ends it at once. */
+  /** Closes the connection at once. */
   destroy(): void;
 }
 
-/** Makes and accepts connections. */
+/** Opens and accepts connections. */
 export interface PeerTransport {
   /**
-   * Accepts connections; returns the address at which others reach this box. Rejects if the address is taken.
+   * Accepts connections; returns the address at which others reach this box. Rejects if the address is in use.
    *
-   * @param onAccepted gives the events of a connection that was just accepted
+   * @param onAccepted returns the callbacks of a connection that was just accepted
    */
   listen(
     host: string,
     port: number,
     onAccepted: (connection: PeerConnection) => ConnectionEvents,
   ): Promise<string>;
-  /** Begins to connect to an address (host:port). */
+  /** Starts to connect to an address (host:port). */
   connect(address: string, events: ConnectionEvents): PeerConnection;
-  /** Stops accepting and ends all accepted connections. */
+  /** Stops accepting connections and closes all accepted ones. */
   close(): void;
 }
 
@@ -52,7 +52,7 @@
   private readonly accepted = new Set<Socket>();
   private server: Server | undefined;
 
-  /** @param readFrames reads the frames that a chunk completes; lets its time be measured */
+  /** @param readFrames reads the frames that a chunk completes; can be replaced to measure the time this takes */
   constructor(private readonly readFrames: ReadFrames = (reader, chunk) => reader.push(chunk)) {}
 
   listen(
@@ -92,7 +92,7 @@
 
   private attachEvents(socket: Socket, events: ConnectionEvents): void {
     const reader = new PeerFrameReader();
-    // An error is always followed by `close`, which is what counts.
+    // An error is always followed by `close`, which reports the end of the connection.
     socket.on('error', () => socket.destroy());
     socket.on('close', () => events.onClosed());
     socket.on('data', (chunk: Buffer) => {
