--- a/packages/router/src/peers/feedRelay.ts
+++ b/packages/router/src/peers/feedRelay.ts
@@ -1,6 +1,7 @@
 /**
- * Passes on what the platform publishes: the boxes that follow it tell those of their hall what changed, and how new
- * what they know is, so that the others can rest or step in.
+ * Relays what the platform publishes. The boxes of a hall that watch the platform (its watchers) send each change, and
+ * the revision of their lists, to the other boxes of the hall. These stay passive as long as they receive such notices,
+ * and watch the platform themselves if the notices stop.
  */
 import type { DecisionLog } from '../observability/decisionLog.js';
 import type { PublishedState, Publication } from '../systems/publishedState.js';
@@ -14,7 +15,7 @@
 import { MAX_RELAYED_CHARS } from './peerValueSync.js';
 import type { PeerValueSync } from './peerValueSync.js';
 
-/** What the relay works with. */
+/** Dependencies and settings of the relay. */
 export interface FeedRelayOptions {
   readonly mesh: PeerMesh;
   readonly state: PublishedState;
@@ -25,77 +26,77 @@
   readonly linkMbps: number;
   readonly hash: (text: string) => number;
   readonly now: () => number;
-  /** Time in which a change has to be in force. */
+  /** Maximum time from the publication of a change until it is in force. */
   readonly applyBoundMs: number;
 }
 
-/** One box's part in spreading what is published. */
+/** Sends and applies notices of published changes for one box. */
 export class FeedRelay {
   private confirmedAtMs = -Infinity;
-  private lostAtMs = -Infinity;
-  private dutyType: FeedRole['type'] | undefined;
-  /** Version of the configuration that the hall was told last; 0 before the first. */
+  private feedLostAtMs = -Infinity;
+  private roleType: FeedRole['type'] | undefined;
+  /** Version of the configuration in the last notice to the hall; 0 before the first. */
   private announcedVersion = 0;
-  /** Whether the newest configuration differs little from the one before. */
-  private isNewsSmall = false;
+  /** Whether the last change of the configuration is small enough to be relayed. */
+  private isLastChangeSmall = false;
 
   constructor(private readonly options: FeedRelayOptions) {}
 
-  /** What this box does about the platform now. */
+  /** Decides the feed role of this box: watch the platform, read the configuration once, or stay passive. */
   decideRole(): FeedRole {
-    const { now, mesh, valueSync: values, applyBoundMs } = this.options;
-    const facts: FeedRoleInput = {
+    const { now, mesh, valueSync, applyBoundMs } = this.options;
+    const input: FeedRoleInput = {
       nowMs: now(),
       boxes: mesh.countBoxes(),
-      own: this.describeOwn(),
-      hallPeers: this.listHallPeers(),
+      own: this.describeOwnCandidate(),
+      hallPeers: this.listHallCandidates(),
       confirmedAtMs: this.confirmedAtMs,
       applyBoundMs,
-      lacksConfiguration: values.mustReadConfiguration(),
+      lacksConfiguration: valueSync.mustReadConfiguration(),
     };
-    const duty = decideFeedRole(facts);
-    if (duty.type !== this.dutyType) this.noteDuty(duty, facts);
-    return duty;
+    const role = decideFeedRole(input);
+    if (role.type !== this.roleType) this.logRoleChange(role, input);
+    return role;
   }
 
-  /** What this box tells of its own reading. */
+  /** Whether this box can watch the platform. For a while after a failed read it leaves that to others (`lost`). */
   get feedState(): FeedState {
-    return isFeedLost(this.lostAtMs, this.options.now()) ? 'lost' : 'able';
+    return isFeedLost(this.feedLostAtMs, this.options.now()) ? 'lost' : 'able';
   }
 
-  /** Tells the hall what the platform answered, if this box follows it for the others. */
+  /** Sends a publication of the platform to the boxes of the hall, if this box is one of the hall's watchers. */
   announce(publication: Publication): void {
     const { mesh, state, hall } = this.options;
-    this.lostAtMs = -Infinity;
-    if (findWatcherPosition(this.describeOwn(), this.listHallPeers()) === undefined) return;
+    this.feedLostAtMs = -Infinity;
+    if (findWatcherPosition(this.describeOwnCandidate(), this.listHallCandidates()) === undefined) return;
     const { from, revision, endpointChanges, evacuationChanges } = publication;
-    const news = this.describeNews();
+    const change = this.describeSmallChange();
     mesh.sendToHall(hall, {
       type: 'feedNotice',
       address: mesh.address,
-      // Peers that know an older list ask for the whole one.
+      // A snapshot has no start revision: peers with an older list then request the complete one.
       from: from ?? revision,
       revision,
       era: publication.era ?? state.listPosition.era,
       unsettledMs: state.platformReport?.doubtMs ?? 0,
       configurationVersion: state.configurationVersion,
       configurationChars: state.configurationChars,
-      isConfigurationChangeSmall: this.isNewsSmall,
-      configurationChange: news,
+      isConfigurationChangeSmall: this.isLastChangeSmall,
+      configurationChange: change,
       changes: from === undefined ? [] : endpointChanges.flatMap(toNoticeChange),
       evacuations: evacuationChanges.flatMap(toNoticeEvacuation),
     });
     this.announcedVersion = state.configurationVersion;
   }
 
-  /** This box cannot read the platform. */
+  /** Records that this box failed to read the platform. */
   markFeedLost(): void {
-    this.lostAtMs = this.options.now();
+    this.feedLostAtMs = this.options.now();
   }
 
-  /** Takes over what a follower told; asks it for what cannot be had from the notice alone. */
+  /** Applies the notice of a watcher, and requests from it what the notice does not contain. */
   handleNotice(notice: FeedNotice): void {
-    const { state, valueSync: values, now } = this.options;
+    const { state, valueSync, now } = this.options;
     const { era, revision } = notice;
     if (era === state.listPosition.era && notice.from <= state.endpointsRevision) {
       this.confirmedAtMs = now();
@@ -105,38 +106,39 @@
         state.applyLists({ endpointChanges, evacuationChanges }, { era, revision }, 'peer');
       }
     }
-    if (notice.configurationChange !== undefined) values.applyConfigurationChange(notice.configurationChange);
-    values.handleNotice(notice);
+    if (notice.configurationChange !== undefined)
+      valueSync.applyConfigurationChange(notice.configurationChange);
+    valueSync.handleNotice(notice);
   }
 
-  /** What changed in the configuration since the last notice, if it is small enough for every box of the hall. */
-  private describeNews(): ConfigurationChange | undefined {
+  /** The configuration change since the last notice, if there is one and it is small enough for all boxes of the hall. */
+  private describeSmallChange(): ConfigurationChange | undefined {
     const { state } = this.options;
     if (state.configurationVersion === this.announcedVersion) return undefined;
     const change = state.createChangeSince(this.announcedVersion);
-    this.isNewsSmall = change !== undefined && state.measureChange(change) <= MAX_RELAYED_CHARS;
-    return this.isNewsSmall ? change : undefined;
+    this.isLastChangeSmall = change !== undefined && state.measureChange(change) <= MAX_RELAYED_CHARS;
+    return this.isLastChangeSmall ? change : undefined;
   }
 
-  private noteDuty(duty: FeedRole, facts: FeedRoleInput): void {
+  private logRoleChange(role: FeedRole, input: FeedRoleInput): void {
     this.options.log.write('notable', 'feedDuty', {
-      duty: duty.type,
-      before: this.dutyType,
-      boxes: facts.boxes,
-      hallPeers: facts.hallPeers.length,
-      standing: facts.own.state,
-      confirmedAgoMs: Math.round(facts.nowMs - facts.confirmedAtMs),
-      lacksConfiguration: facts.lacksConfiguration,
+      duty: role.type,
+      before: this.roleType,
+      boxes: input.boxes,
+      hallPeers: input.hallPeers.length,
+      standing: input.own.state,
+      confirmedAgoMs: Math.round(input.nowMs - input.confirmedAtMs),
+      lacksConfiguration: input.lacksConfiguration,
     });
-    this.dutyType = duty.type;
+    this.roleType = role.type;
   }
 
-  private describeOwn(): WatcherCandidate {
+  private describeOwnCandidate(): WatcherCandidate {
     const { hash, linkMbps, mesh } = this.options;
     return { rank: rankWatcher(hash(mesh.address), linkMbps), state: this.feedState };
   }
 
-  private listHallPeers(): WatcherCandidate[] {
+  private listHallCandidates(): WatcherCandidate[] {
     const { mesh, hall, hash } = this.options;
     return mesh
       .listReachable()
--- a/packages/router/src/peers/heartbeatSender.ts
+++ b/packages/router/src/peers/heartbeatSender.ts
@@ -1,4 +1,4 @@
-/** Builds and sends the heartbeats of a box: to all peers at the pace of the mesh, and on each link that just came up. */
+/** Creates the heartbeats of a box and sends them: to all peers at the interval of the mesh, and on each new link. */
 import type { QuarantineRelay } from '../quarantine/quarantineRelay.js';
 import { listOwnLoads } from '../systems/loadExchange.js';
 import type { HolderList, PromptHolders } from '../systems/promptHolders.js';
@@ -9,10 +9,10 @@
 import type { Heartbeat } from './peerFrames.js';
 import type { PeerMesh } from './peerMesh.js';
 
-/** Homes of prompts told in one heartbeat; in a steady state there are next to none to tell. */
-const MAX_TOLD_HOMES = 256;
+/** Maximum number of prompt holders in one heartbeat. In a steady state there are almost none to send. */
+const MAX_HOLDERS_PER_HEARTBEAT = 256;
 
-/** What heartbeats are made of. */
+/** Dependencies and settings of the sender. */
 export interface HeartbeatSenderOptions {
   readonly hall: string;
   /** Bandwidth of the box's link. */
@@ -28,40 +28,40 @@
   readonly now: () => number;
 }
 
-/** The heartbeats of one box. */
+/** Sends the heartbeats of one box. */
 export class HeartbeatSender {
-  private sentAtMs = 0;
+  private lastSentAtMs = 0;
 
   constructor(private readonly options: HeartbeatSenderOptions) {}
 
   /** Runs once a tick; sends a heartbeat to all peers when one is due. */
   tick(nowMs: number): void {
-    const { mesh, promptHolders: homes, loadRelay: loads } = this.options;
-    if (nowMs - this.sentAtMs < mesh.heartbeatIntervalMs) return;
-    this.sentAtMs = nowMs;
-    const told = mesh.isFullMesh ? homes.takeUnsent(MAX_TOLD_HOMES) : [];
-    const prompts = loads.takeDemandForHeartbeat();
-    mesh.broadcast({ ...this.create(told), ...(prompts && { prompts }) });
+    const { mesh, promptHolders, loadRelay } = this.options;
+    if (nowMs - this.lastSentAtMs < mesh.heartbeatIntervalMs) return;
+    this.lastSentAtMs = nowMs;
+    const holders = mesh.isFullMesh ? promptHolders.takeUnsent(MAX_HOLDERS_PER_HEARTBEAT) : [];
+    const prompts = loadRelay.takeDemandForHeartbeat();
+    mesh.broadcast({ ...this.create(holders), ...(prompts && { prompts }) });
   }
 
-  /** What a box on a link that just came up may have missed goes with the first heartbeat. */
+  /** Creates the first heartbeat on a new link, with prompt holders and crash reports that the peer may have missed. */
   createInitialHeartbeat(): Heartbeat {
-    const { loadRelay: loads, quarantineRelay: crashNews } = this.options;
-    return { ...this.create(loads.listHoldersForNewLink()), ...crashNews.createSnapshot() };
+    const { loadRelay, quarantineRelay } = this.options;
+    return { ...this.create(loadRelay.listHoldersForNewLink()), ...quarantineRelay.createSnapshot() };
   }
 
-  /** Sends a heartbeat to the own hall before the next one is due: what it says of this box has changed. */
+  /** Sends a heartbeat to the own hall before the next one is due, because the state of this box has changed. */
   sendToHall(): void {
     const { mesh, hall } = this.options;
     mesh.sendToHall(hall, this.create([]));
   }
 
-  private create(homes: HolderList): Heartbeat {
-    const { hall, linkMbps, mesh, state, table, feedRelay: relay } = this.options;
+  private create(holders: HolderList): Heartbeat {
+    const { hall, linkMbps, mesh, state, table, feedRelay } = this.options;
     return {
       type: 'heartbeat',
       hall,
-      feed: relay.feedState,
+      feed: feedRelay.feedState,
       linkMbps,
       address: mesh.address,
       boxes: mesh.countBoxes(),
@@ -70,7 +70,7 @@
       era: state.listPosition.era,
       platformReport: state.platformReport,
       loads: mesh.isFullMesh ? listOwnLoads(table) : [],
-      homes: [...homes],
+      homes: [...holders],
       incarnation: mesh.incarnation,
       isStopping: this.options.isStopping(),
     };
--- a/packages/router/src/peers/loadRelay.ts
+++ b/packages/router/src/peers/loadRelay.ts
@@ -1,8 +1,8 @@
 /**
- * Spreads loads, and with them what boxes learned of the homes of prompts and were asked for. In a small fleet heartbeats
- * carry all of it to every box. In a larger one each box tells it to two speakers of its hall; these tell the hall's sum to
- * the speakers of the other halls and the fleet's sum to a few boxes of their own, which pass it on, so that a box sends
- * and reads a few frames a second whatever the size of the fleet.
+ * Distributes the loads of endpoints, and with them prompt holders and prompt demand. In a small fleet heartbeats carry
+ * all of it to every box. In a larger one each box sends it to two aggregators of its hall. An aggregator sends the sum of
+ * its hall to the aggregators of the other halls, and the sum of the fleet to a few boxes of its own hall, which relay it.
+ * So a box sends and reads a few frames per second, whatever the size of the fleet.
  */
 import { RecentReports, REPORT_TTL_MS } from '../systems/recentReports.js';
 import type { LoadList, LoadSum } from '../systems/loadExchange.js';
@@ -18,38 +18,38 @@
 import type { BoxLoads, FleetLoads, HallLoads, Heartbeat, LoadCoverage } from './peerFrames.js';
 import type { PeerMesh } from './peerMesh.js';
 
-/** Boxes of a hall that speak for it; the second one covers for the first. */
-const SPEAKERS_PER_HALL = 2;
-/** Pace in a large fleet. Loads pass two or three boxes: a second old at the most, half of it in the mean. */
-const LOADS_MS = 500;
-/** The second speaker speaks when the first one missed two periods. */
-const COVER_MS = 2 * LOADS_MS + LOADS_MS / 2;
+/** Aggregators of a hall; the second one backs up the first. */
+const AGGREGATORS_PER_HALL = 2;
+/** Interval in a large fleet. Loads are relayed by two or three boxes: at most a second old, on average half of that. */
+const LOAD_INTERVAL_MS = 500;
+/** The second aggregator takes over when the first one has missed two intervals. */
+const TAKEOVER_MS = 2 * LOAD_INTERVAL_MS + LOAD_INTERVAL_MS / 2;
 
-/** Homes of prompts in one sum: two kilobytes, of which a hall's boxes send next to none in a steady state. */
-const MAX_KEPT_PAIRS = 256;
-/** Homes of prompts told on a new link: some ten kilobytes, once. */
-const MAX_HOMES_ON_NEW_LINK = 1_024;
+/** Maximum number of prompt holders in one sum: two kilobytes. In a steady state a hall's boxes send almost none. */
+const MAX_HOLDERS_PER_SUM = 256;
+/** Maximum number of prompt holders sent on a new link: about ten kilobytes, once. */
+const MAX_HOLDERS_ON_NEW_LINK = 1_024;
 
-/** Lists of what this box was asked for that wait for a heartbeat; more would mean that none is sent any longer. */
-const MAX_UNTOLD_LISTS = 4;
+/** Maximum number of demand lists that wait for a heartbeat. More would mean that heartbeats are no longer sent. */
+const MAX_UNSENT_DEMAND_LISTS = 4;
 
-/** Boxes may be missing from a sum for a moment, as they come and go; below this share it is partial. */
-const WHOLE_SHARE = 0.9;
+/** A sum of less than this share of the boxes is partial. Some may be missing for a moment as boxes join and leave. */
+const MIN_WHOLE_SHARE = 0.9;
 
-/** A box of an earlier version does not say what its sum is made of. */
+/** Coverage of sums from boxes of an earlier version, which do not report it. */
 const UNKNOWN_COVERAGE = { boxes: 0, ageMs: 0 } as const;
 
-/** What a box knows of the loads of the others. */
+/** Completeness and age of a box's view of the loads of other boxes. */
 export interface LoadViewStatus {
-  /** `missing`: nothing was heard for so long that the loads of others count as none. */
+  /** `missing`: nothing was received for so long that the loads of other boxes count as zero. */
   readonly extent: 'whole' | 'partial' | 'missing';
-  /** Boxes whose loads are known, this one included. */
+  /** Number of boxes whose loads are known, including this one. */
   readonly boxes: number;
-  /** How old the oldest of them are. */
+  /** Age of the oldest of these loads. */
   readonly ageMs: number;
 }
 
-/** What the relay works with. */
+/** Dependencies and settings of the relay. */
 export interface LoadRelayOptions {
   readonly mesh: PeerMesh;
   readonly table: EndpointTable;
@@ -57,247 +57,252 @@
   readonly demand: PromptDemand;
   readonly hall: string;
   readonly hash: (text: string) => number;
-  /** Between 0 and 1. */
+  /** Returns a number between 0 and 1. */
   readonly random: () => number;
   readonly now: () => number;
-  /** Called twice a second, and with each heartbeat in a small fleet. */
-  readonly onViewStatus: (knowledge: LoadViewStatus) => void;
+  /** Called twice a second, in a small fleet at the interval of heartbeats. */
+  readonly onViewStatus: (status: LoadViewStatus) => void;
 }
 
-/** One box's part in spreading loads. */
+/** Sends, relays and applies loads for one box. */
 export class LoadRelay {
-  private readonly boxes = new RecentReports<LoadSum>();
-  private readonly halls = new RecentReports<LoadSum>();
-  private readonly demands = new DemandAggregate();
-  private untoldDemand: PairList[] = [];
-  private demandAtMs = -Infinity;
+  private readonly boxLoads = new RecentReports<LoadSum>();
+  private readonly hallLoads = new RecentReports<LoadSum>();
+  private readonly demandAggregate = new DemandAggregate();
+  private unsentDemand: PairList[] = [];
+  private demandUpdatedAtMs = -Infinity;
   private tickedAtMs = -Infinity;
-  private spokeEarlyAtMs = -Infinity;
-  /** When a speaker last told the fleet's sum. */
-  private heardFleetAtMs = -Infinity;
-  /** What this box told last, and so is in the sums that come back. */
-  private toldLoads: LoadList = [];
-  /** What the loads of the others were taken from last, and when. */
-  private taken: LoadCoverage = { boxes: 1, ageMs: 0 };
-  private takenAtMs = -Infinity;
-  /** Homes of prompts that this box, if it speaks, has still to tell its hall, and the other halls. */
-  private readonly hallHomes: number[] = [];
-  private readonly fleetHomes: number[] = [];
+  private sentEarlyAtMs = -Infinity;
+  /** When the loads of the fleet were last received from an aggregator. */
+  private fleetLoadsAtMs = -Infinity;
+  /** The loads that this box sent last, which the received sums therefore include. */
+  private sentLoads: LoadList = [];
+  /** Coverage of the loads of other boxes that were applied last, and when they were applied. */
+  private appliedCoverage: LoadCoverage = { boxes: 1, ageMs: 0 };
+  private appliedAtMs = -Infinity;
+  /** Prompt holders that this box, if it aggregates, has yet to send to its own hall and to the other halls. */
+  private readonly holdersForOwnHall: number[] = [];
+  private readonly holdersForOtherHalls: number[] = [];
 
   constructor(private readonly options: LoadRelayOptions) {}
 
-  /** Runs once a tick of the loop and acts at its own pace. */
+  /** Runs once per tick of the loop and acts at its own interval. */
   tick(): void {
     const { mesh, now } = this.options;
     const nowMs = now();
     if (mesh.isFullMesh) this.updateDemand(nowMs);
-    if (nowMs - this.tickedAtMs < (mesh.isFullMesh ? mesh.heartbeatIntervalMs : LOADS_MS)) return;
+    if (nowMs - this.tickedAtMs < (mesh.isFullMesh ? mesh.heartbeatIntervalMs : LOAD_INTERVAL_MS)) return;
     this.tickedAtMs = nowMs;
-    if (mesh.isFullMesh) this.takeFromHeartbeats(nowMs);
-    else this.takePart(nowMs);
+    if (mesh.isFullMesh) this.applyHeartbeatLoads(nowMs);
+    else this.exchangeLoads(nowMs);
     this.options.onViewStatus(this.readViewStatus());
   }
 
-  /** What this box knows of the loads of the others. */
+  /** Completeness and age of this box's view of the loads of other boxes. */
   readViewStatus(): LoadViewStatus {
     const { mesh, now } = this.options;
     const ageMs = this.readLoadAgeMs();
-    if (!mesh.isFullMesh && now() - this.takenAtMs > REPORT_TTL_MS)
+    if (!mesh.isFullMesh && now() - this.appliedAtMs > REPORT_TTL_MS)
       return { extent: 'missing', boxes: 1, ageMs };
-    const { boxes } = this.taken;
-    return { extent: boxes < WHOLE_SHARE * mesh.countBoxes() ? 'partial' : 'whole', boxes, ageMs };
+    const { boxes } = this.appliedCoverage;
+    return { extent: boxes < MIN_WHOLE_SHARE * mesh.countBoxes() ? 'partial' : 'whole', boxes, ageMs };
   }
 
-  /** How old the oldest loads are that this box knows; infinite before the first. */
+  /** Age of the oldest loads that this box knows; infinite before the first. */
   readLoadAgeMs(): number {
-    return this.taken.ageMs + this.options.now() - this.takenAtMs;
+    return this.appliedCoverage.ageMs + this.options.now() - this.appliedAtMs;
   }
 
-  /** In a small fleet, what this box was asked for since its last heartbeat: each box adds up what all tell. */
+  /** In a small fleet, the prompt demand at this box since its last heartbeat: every box sums the demand of all boxes. */
   takeDemandForHeartbeat(): number[] | undefined {
     if (!this.options.mesh.isFullMesh) return undefined;
     this.collectOwnDemand();
-    const prompts = [...addPairs(this.untoldDemand)];
-    this.untoldDemand = [];
+    const prompts = [...addPairs(this.unsentDemand)];
+    this.unsentDemand = [];
     return prompts.length > 0 ? prompts : undefined;
   }
 
-  /** A peer's heartbeat tells what it was asked for. */
+  /** Records the prompt demand in the heartbeat of a peer. */
   handleHeartbeat({ prompts = [] }: Heartbeat): void {
-    this.demands.addBoxCounts(prompts);
+    this.demandAggregate.addBoxCounts(prompts);
   }
 
-  /** A box of the hall tells its loads to this speaker. */
+  /** Records the loads of a box of the hall, which sends them to this box as an aggregator. */
   handleBoxLoads(frame: BoxLoads): void {
     this.options.promptHolders.addReported(frame.homes);
-    this.keepHomesForAll(frame.homes);
-    this.demands.addBoxCounts(frame.prompts);
-    this.boxes.record(frame.address, { loads: frame.loads, boxes: 1, ageMs: 0 }, this.options.now());
-    if (this.demands.takeNewlyHot()) this.speakEarly();
+    this.queueHoldersForAllHalls(frame.homes);
+    this.demandAggregate.addBoxCounts(frame.prompts);
+    this.boxLoads.record(frame.address, { loads: frame.loads, boxes: 1, ageMs: 0 }, this.options.now());
+    if (this.demandAggregate.takeNewlyHot()) this.sendSumsEarly();
   }
 
-  /** The speaker of another hall tells its sum. */
+  /** Records the sum of another hall, sent by its aggregator. */
   handleHallLoads(frame: HallLoads): void {
     if (frame.hall === this.options.hall) return;
     this.options.promptHolders.addReported(frame.homes);
-    this.keepHomes(frame.homes, this.hallHomes);
-    this.demands.setHallCounts(frame.hall, frame.prompts, this.options.now());
+    this.queueHolders(frame.homes, this.holdersForOwnHall);
+    this.demandAggregate.setHallCounts(frame.hall, frame.prompts, this.options.now());
     const { boxes, ageMs } = frame.coverage ?? UNKNOWN_COVERAGE;
-    this.halls.record(frame.hall, { loads: frame.loads, boxes, ageMs }, this.options.now());
+    this.hallLoads.record(frame.hall, { loads: frame.loads, boxes, ageMs }, this.options.now());
   }
 
-  /** The speaker of this hall tells what all boxes have. */
+  /** Applies the sum of the fleet, sent by an aggregator of this hall, and relays it. */
   handleFleetLoads(frame: FleetLoads): void {
-    this.heardFleetAtMs = this.options.now();
+    this.fleetLoadsAtMs = this.options.now();
     this.options.promptHolders.addReported(frame.homes);
-    this.options.demand.setHotPrompts(frame.prompts, this.heardFleetAtMs);
-    this.take([subtractLoads(frame.loads, this.toldLoads)], frame.coverage ?? UNKNOWN_COVERAGE);
-    this.spread(frame, frame.passTo);
+    this.options.demand.setHotPrompts(frame.prompts, this.fleetLoadsAtMs);
+    this.applyLoads([subtractLoads(frame.loads, this.sentLoads)], frame.coverage ?? UNKNOWN_COVERAGE);
+    this.relayFleetLoads(frame, frame.passTo);
   }
 
-  /** What a box on a new link is told of the homes of prompts: all in a small fleet, by the speakers in a large one. */
+  /** Prompt holders to send on a new link: from every box in a small fleet, from the first of each hall in a large one. */
   listHoldersForNewLink(): HolderList {
-    const { mesh, promptHolders: homes } = this.options;
-    return mesh.isFullMesh || this.findPlace() === 0 ? homes.listRecent(MAX_HOMES_ON_NEW_LINK) : [];
+    const { mesh, promptHolders } = this.options;
+    return mesh.isFullMesh || this.findOwnPosition() === 0
+      ? promptHolders.listRecent(MAX_HOLDERS_ON_NEW_LINK)
+      : [];
   }
 
-  /** What a box of this hall learned is told at home and to the other halls. */
-  private keepHomesForAll(homes: HolderList): void {
-    this.keepHomes(homes, this.hallHomes);
-    this.keepHomes(homes, this.fleetHomes);
+  /** Queues prompt holders that a box of this hall has learned, for the own hall and for the other halls. */
+  private queueHoldersForAllHalls(holders: HolderList): void {
+    this.queueHolders(holders, this.holdersForOwnHall);
+    this.queueHolders(holders, this.holdersForOtherHalls);
   }
 
-  /** Keeps homes for the next sums; a box that does not speak keeps the newest, in case that it has to. */
-  private keepHomes(homes: HolderList, kept: number[]): void {
-    kept.push(...homes);
-    if (kept.length > 2 * MAX_KEPT_PAIRS) kept.splice(0, kept.length - 2 * MAX_KEPT_PAIRS);
+  /** Queues prompt holders for the next sums. A box that does not aggregate keeps the newest in case it takes over. */
+  private queueHolders(holders: HolderList, queue: number[]): void {
+    queue.push(...holders);
+    if (queue.length > 2 * MAX_HOLDERS_PER_SUM) queue.splice(0, queue.length - 2 * MAX_HOLDERS_PER_SUM);
   }
 
-  /** Tells this box's loads, and those of all if it speaks. */
-  private takePart(nowMs: number): void {
-    this.tellSpeakers();
-    this.demands.endPeriod(nowMs);
-    if (this.mustSpeak(nowMs)) this.speak(nowMs);
-    else if (nowMs - this.heardFleetAtMs > REPORT_TTL_MS) applyPeerLoads(this.options.table, []);
+  /** Sends the loads of this box, and the sums if this box aggregates. */
+  private exchangeLoads(nowMs: number): void {
+    this.sendToAggregators();
+    this.demandAggregate.endPeriod(nowMs);
+    if (this.mustAggregate(nowMs)) this.sendSums(nowMs);
+    else if (nowMs - this.fleetLoadsAtMs > REPORT_TTL_MS) applyPeerLoads(this.options.table, []);
   }
 
-  /** Keeps what this box was asked for, for its next heartbeat; old lists go if none is sent. */
+  /** Keeps the prompt demand at this box for its next heartbeat. Drops the oldest lists if none is sent. */
   private collectOwnDemand(): void {
     const counts = this.options.demand.takeCounts();
     if (counts.length === 0) return;
-    this.demands.addBoxCounts(counts);
-    this.untoldDemand = [...this.untoldDemand, counts].slice(-MAX_UNTOLD_LISTS);
+    this.demandAggregate.addBoxCounts(counts);
+    this.unsentDemand = [...this.unsentDemand, counts].slice(-MAX_UNSENT_DEMAND_LISTS);
   }
 
-  /** In a small fleet each box finds out itself which prompts are hot. */
+  /** In a small fleet each box determines by itself which prompts are hot. */
   private updateDemand(nowMs: number): void {
-    if (nowMs - this.demandAtMs < LOADS_MS) return;
-    this.demandAtMs = nowMs;
+    if (nowMs - this.demandUpdatedAtMs < LOAD_INTERVAL_MS) return;
+    this.demandUpdatedAtMs = nowMs;
     this.collectOwnDemand();
-    this.demands.endPeriod(nowMs);
-    this.options.demand.setHotPrompts(this.demands.listHot(), nowMs);
+    this.demandAggregate.endPeriod(nowMs);
+    this.options.demand.setHotPrompts(this.demandAggregate.listHot(), nowMs);
   }
 
-  private takeFromHeartbeats(nowMs: number): void {
+  private applyHeartbeatLoads(nowMs: number): void {
     const { mesh } = this.options;
     const peers = mesh.listRecentlySeen();
     const ageMs = Math.max(0, ...peers.map((peer) => nowMs - peer.lastSeenAtMs));
-    this.take(
+    this.applyLoads(
       peers.map((peer) => peer.heartbeat.loads),
       { boxes: peers.length + 1, ageMs },
     );
   }
 
-  /** Writes the loads of the others into the table. */
-  private take(lists: readonly LoadList[], { boxes, ageMs }: LoadCoverage): void {
-    this.taken = { boxes, ageMs };
-    this.takenAtMs = this.options.now();
+  /** Writes the loads of other boxes into the table. */
+  private applyLoads(lists: readonly LoadList[], { boxes, ageMs }: LoadCoverage): void {
+    this.appliedCoverage = { boxes, ageMs };
+    this.appliedAtMs = this.options.now();
     applyPeerLoads(this.options.table, lists);
   }
 
-  private tellSpeakers(): void {
-    const { mesh, table, hall, promptHolders: homes, demand } = this.options;
-    this.toldLoads = listOwnLoads(table);
-    const news = homes.takeUnsent(MAX_KEPT_PAIRS);
-    this.keepHomesForAll(news);
+  private sendToAggregators(): void {
+    const { mesh, table, hall, promptHolders, demand } = this.options;
+    this.sentLoads = listOwnLoads(table);
+    const holders = promptHolders.takeUnsent(MAX_HOLDERS_PER_SUM);
+    this.queueHoldersForAllHalls(holders);
     const prompts = demand.takeCounts();
-    this.demands.addBoxCounts(prompts);
+    this.demandAggregate.addBoxCounts(prompts);
     const frame: BoxLoads = {
       type: 'boxLoads',
       address: mesh.address,
-      loads: [...this.toldLoads],
-      homes: news,
+      loads: [...this.sentLoads],
+      homes: holders,
       prompts,
     };
-    for (const address of this.listSpeakers((other) => other === hall)) mesh.send(address, frame);
+    for (const address of this.listAggregators((other) => other === hall)) mesh.send(address, frame);
   }
 
-  /** Whether this box speaks: the first of its hall, or the second if the first is not heard. */
-  private mustSpeak(nowMs: number): boolean {
-    const place = this.findPlace();
-    return place === 0 || (place < SPEAKERS_PER_HALL && nowMs - this.heardFleetAtMs > COVER_MS);
+  /** Whether this box aggregates: it is the first of its hall, or the second and receives nothing from the first. */
+  private mustAggregate(nowMs: number): boolean {
+    const position = this.findOwnPosition();
+    return position === 0 || (position < AGGREGATORS_PER_HALL && nowMs - this.fleetLoadsAtMs > TAKEOVER_MS);
   }
 
   /**
-   * A prompt that has just become hot fills its home until all boxes know of it: a speaker tells at once, once between two
-   * of its regular sums.
+   * Until all boxes know that a prompt has become hot, its requests overload its preferred endpoint. An aggregator therefore
+   * sends its sums at once, at most once between two regular ones.
    */
-  private speakEarly(): void {
+  private sendSumsEarly(): void {
     const nowMs = this.options.now();
-    if (this.spokeEarlyAtMs >= this.tickedAtMs || !this.mustSpeak(nowMs)) return;
-    this.spokeEarlyAtMs = nowMs;
-    this.demands.updateHot(nowMs);
-    this.speak(nowMs);
+    if (this.sentEarlyAtMs >= this.tickedAtMs || !this.mustAggregate(nowMs)) return;
+    this.sentEarlyAtMs = nowMs;
+    this.demandAggregate.updateHot(nowMs);
+    this.sendSums(nowMs);
   }
 
-  private speak(nowMs: number): void {
+  private sendSums(nowMs: number): void {
     const { mesh, hall, demand } = this.options;
-    const { ownHall, others, fleet } = this.addUp(nowMs);
-    this.take([others], fleet);
-    const hot = this.demands.listHot();
+    const { ownHall, others, fleet } = this.sumLoads(nowMs);
+    this.applyLoads([others], fleet);
+    const hot = this.demandAggregate.listHot();
     demand.setHotPrompts(hot, nowMs);
     const hallFrame: HallLoads = {
       type: 'hallLoads',
       hall,
       loads: [...ownHall.loads],
       coverage: toCoverage(ownHall),
-      homes: this.fleetHomes.splice(0),
-      prompts: this.demands.listHallCounts(),
+      homes: this.holdersForOtherHalls.splice(0),
+      prompts: this.demandAggregate.listHallCounts(),
     };
-    for (const address of this.listSpeakers((other) => other !== hall)) mesh.send(address, hallFrame);
+    for (const address of this.listAggregators((other) => other !== hall)) mesh.send(address, hallFrame);
     const fleetFrame: FleetLoads = {
       type: 'fleetLoads',
       loads: [...fleet.loads],
       coverage: toCoverage(fleet),
-      homes: this.hallHomes.splice(0),
+      homes: this.holdersForOwnHall.splice(0),
       prompts: hot,
       passTo: [],
     };
-    this.spread(fleetFrame, this.listHallRanks());
+    this.relayFleetLoads(fleetFrame, this.listHallRanks());
   }
 
-  /** What the own hall holds, what all boxes but this one hold, and what all hold. */
-  private addUp(nowMs: number): { ownHall: LoadSum; others: LoadList; fleet: LoadSum } {
-    const hallPeers = sumLoadReports(this.boxes.listRecent(nowMs), nowMs);
-    const halls = sumLoadReports(this.halls.listRecent(nowMs), nowMs);
+  /** Sums of the loads of the own hall, of all boxes except this one, and of all boxes. */
+  private sumLoads(nowMs: number): { ownHall: LoadSum; others: LoadList; fleet: LoadSum } {
+    const hallPeers = sumLoadReports(this.boxLoads.listRecent(nowMs), nowMs);
+    const halls = sumLoadReports(this.hallLoads.listRecent(nowMs), nowMs);
     const others = addPairs([hallPeers.loads, halls.loads]);
     const boxes = hallPeers.boxes + 1;
     return {
       ownHall: {
-        loads: addPairs([hallPeers.loads, this.toldLoads]),
+        loads: addPairs([hallPeers.loads, this.sentLoads]),
         boxes,
         ageMs: hallPeers.ageMs,
       },
       others,
       fleet: {
-        loads: addPairs([others, this.toldLoads]),
+        loads: addPairs([others, this.sentLoads]),
         boxes: boxes + halls.boxes,
         ageMs: Math.max(hallPeers.ageMs, halls.ageMs),
       },
     };
   }
 
-  /** Ranks of the other boxes of the hall, in another order each time: one that fails to pass on is missed by others then. */
+  /**
+   * Ranks of the other boxes of the hall in random order, so that a box that fails to relay does not cut off the same boxes
+   * each time.
+   */
   private listHallRanks(): number[] {
     const { random } = this.options;
     return this.listHallPeers()
@@ -306,33 +311,33 @@
       .map(({ rank }) => rank);
   }
 
-  /** Sends the fleet's sum to some boxes of the hall, who pass it on to the rest. */
-  private spread(frame: FleetLoads, ranks: readonly number[]): void {
+  /** Sends the sum of the fleet to some boxes of the hall, which relay it to the rest. */
+  private relayFleetLoads(frame: FleetLoads, ranks: readonly number[]): void {
     if (ranks.length === 0) return;
     const { mesh } = this.options;
     const addresses = new Map(this.listHallPeers().map(({ address }) => [this.rank(address), address]));
-    for (const { receiver: head, passTo } of planFanOut(ranks, (rank) => addresses.has(rank))) {
-      const address = addresses.get(head);
+    for (const { receiver, passTo } of planFanOut(ranks, (rank) => addresses.has(rank))) {
+      const address = addresses.get(receiver);
       if (address !== undefined) mesh.send(address, { ...frame, passTo: [...passTo] });
     }
   }
 
-  /** The first boxes of halls, this box left out, by the rank on which all boxes agree. */
-  private listSpeakers(isWanted: (hall: string) => boolean): string[] {
+  /** The first boxes of each selected hall except this box, by the rank on which all boxes agree. */
+  private listAggregators(isSelected: (hall: string) => boolean): string[] {
     const byHall = new Map<string, string[]>();
     for (const { hall, address } of this.listLive()) {
-      if (!isWanted(hall)) continue;
+      if (!isSelected(hall)) continue;
       const addresses = byHall.get(hall);
       if (addresses === undefined) byHall.set(hall, [address]);
       else addresses.push(address);
     }
     return [...byHall.values()].flatMap((addresses) =>
-      addresses.sort((a, b) => this.rank(a) - this.rank(b)).slice(0, SPEAKERS_PER_HALL),
+      addresses.sort((a, b) => this.rank(a) - this.rank(b)).slice(0, AGGREGATORS_PER_HALL),
     );
   }
 
-  /** How many live boxes of the hall rank before this one. */
-  private findPlace(): number {
+  /** Number of live boxes of the hall that rank before this one. */
+  private findOwnPosition(): number {
     const { mesh, hall } = this.options;
     return findHallPosition(mesh, hall, (address) => this.rank(address));
   }
--- a/packages/router/src/peers/peerValueSync.ts
+++ b/packages/router/src/peers/peerValueSync.ts
@@ -1,6 +1,6 @@
 /**
- * Published values that boxes ask each other for: the configuration, since the platform may turn some boxes away while
- * it serves others, and the list of endpoints, for a box that does not follow the platform or cannot.
+ * Published values that boxes request from each other: the configuration, since the platform may refuse some boxes while
+ * it serves others, and the list of endpoints, for a box that does not watch the platform or cannot reach it.
  */
 import type { PublishedState } from '../systems/publishedState.js';
 import type { DecisionLog } from '../observability/decisionLog.js';
@@ -10,50 +10,51 @@
 import type { EndpointsValue, FeedNotice, Heartbeat, ValueRequest } from './peerFrames.js';
 import type { PeerMesh } from './peerMesh.js';
 
-/** A peer with newer values is asked for them at most this often: an answer takes some milliseconds. */
-const ASK_MS = 400;
-/** Most configurations come from the platform itself; peers are asked after this share of the time to apply one. */
-const PATIENCE_SHARE = 1 / 6;
+/** Minimum time between requests for newer values; a response takes a few milliseconds. */
+const REQUEST_INTERVAL_MS = 400;
+/** Most configurations come from the platform itself; peers are asked after this share of the maximum apply time. */
+const CONFIGURATION_WAIT_SHARE = 1 / 6;
 /**
- * A list that stands still for this share of that time while a peer has a newer one is asked for: a waiting call that has
- * gone silent counts as lost only after 3.9 s. Otherwise followers tell what is new within a third of it.
+ * A list that has not changed for this share of the maximum apply time while a peer has a newer one is requested: a
+ * long-polling call that has gone silent counts as lost only after 3.9 s. Otherwise watchers send changes within a third
+ * of the maximum apply time.
  */
-const STUCK_SHARE = 1 / 2;
-/** What is larger is read from the platform: links between boxes are thin, and one box may serve a hall. */
+const STALE_LIST_SHARE = 1 / 2;
+/** Larger values are read from the platform: links between boxes have little bandwidth, and one box may serve a hall. */
 export const MAX_RELAYED_CHARS = 16_384;
 
-/** What this box has, and how it reaches its peers. */
+/** Dependencies and settings of the value sync. */
 export interface PeerValueSyncOptions {
   readonly mesh: PeerMesh;
   readonly state: PublishedState;
   readonly log: DecisionLog;
   readonly now: () => number;
-  /** Time in which a change has to be in force. */
+  /** Maximum time from the publication of a change until it is in force. */
   readonly applyBoundMs: number;
 }
 
-/** Asks peers for newer values and answers such questions. */
+/** Requests newer values from peers and answers their requests. */
 export class PeerValueSync {
-  private askedAtMs = -Infinity;
-  /** Newest configuration that a peer has, and since when this box lacks it. */
-  private heardVersion = 0;
-  private lacksSinceMs = -Infinity;
-  /** Newest list that a peer has, and since when this box has stood still at which one without it. */
-  private heardPosition = NO_LIST;
-  private stuckAtPosition = NO_LIST;
-  private stuckSinceMs = -Infinity;
-  /** The newest configuration is too large to come from the follower, and so is what changed in it. */
-  private isLeftToPlatform = false;
+  private requestedAtMs = -Infinity;
+  /** Newest configuration version that a peer has, and since when this box has been behind. */
+  private newestPeerVersion = 0;
+  private missingSinceMs = -Infinity;
+  /** Position of the newest list that a peer has, position of the own list, and since when the latter has not advanced. */
+  private newestPeerPosition = NO_LIST;
+  private unchangedPosition = NO_LIST;
+  private unchangedSinceMs = -Infinity;
+  /** Whether both the newest configuration and its last change are too large to come from a watcher. */
+  private isTooLargeToRelay = false;
 
   constructor(private readonly options: PeerValueSyncOptions) {}
 
-  /** Asks the sender of a heartbeat for what it has newer and this box should have had by now. */
+  /** Requests newer values from the sender of a heartbeat, if this box should have them by now. */
   handleHeartbeat(heartbeat: Heartbeat): void {
     const { state, now } = this.options;
-    this.noteVersion(heartbeat.configurationVersion);
-    const isOverdue = now() - this.lacksSinceMs >= this.patienceMs;
+    this.recordPeerVersion(heartbeat.configurationVersion);
+    const isOverdue = now() - this.missingSinceMs >= this.configurationWaitMs;
     const isNewer = heartbeat.configurationVersion > state.configurationVersion;
-    // A box that knows nothing yet has nothing to wait for.
+    // A box that lacks a configuration or endpoints cannot serve requests, so it does not wait.
     const lacksConfiguration = isNewer && (isOverdue || !state.isInitialized);
     const { address, platformReport, era, endpointsRevision } = heartbeat;
     const position = { era, revision: endpointsRevision };
@@ -61,37 +62,37 @@
     const lacksEndpoints = isNewerPosition(position, own);
     if (platformReport === undefined) state.removePeerReport(address);
     else if (!lacksEndpoints && era === own.era) state.recordPeerConfirmation(address, platformReport);
-    const isStuck = this.isListStuck(position);
-    const mustAsk = era > own.era || isStuck || !state.isReceivingUpdates;
-    this.ask(heartbeat.address, lacksConfiguration, lacksEndpoints && mustAsk);
+    const isStale = this.isListStale(position);
+    const mustRequest = era > own.era || isStale || !state.isReceivingUpdates;
+    this.requestValues(heartbeat.address, lacksConfiguration, lacksEndpoints && mustRequest);
   }
 
-  /** Asks the box that follows the platform for what its notice did not hold. */
+  /** Requests from a watcher the values that its notice does not contain. */
   handleNotice(notice: FeedNotice): void {
     const { state, now } = this.options;
-    this.noteVersion(notice.configurationVersion);
+    this.recordPeerVersion(notice.configurationVersion);
     const isSmall = notice.configurationChars <= MAX_RELAYED_CHARS || notice.isConfigurationChangeSmall;
-    if (notice.configurationVersion >= this.heardVersion) this.isLeftToPlatform = !isSmall;
-    const isOverdue = now() - this.lacksSinceMs >= this.patienceMs;
+    if (notice.configurationVersion >= this.newestPeerVersion) this.isTooLargeToRelay = !isSmall;
+    const isOverdue = now() - this.missingSinceMs >= this.configurationWaitMs;
     const isNewer = notice.configurationVersion > state.configurationVersion;
     const lacksEndpoints = isNewerPosition({ era: notice.era, revision: notice.from }, state.listPosition);
-    this.ask(notice.address, isNewer && (isSmall || isOverdue), lacksEndpoints);
+    this.requestValues(notice.address, isNewer && (isSmall || isOverdue), lacksEndpoints);
   }
 
   /**
-   * Whether a newer configuration is known of and has to be read: at once if it will not come from a peer, otherwise
-   * after half of the patience, before peers are asked for a large one.
+   * Whether a newer configuration is known and has to be read from the platform: at once if it will not come from a peer,
+   * otherwise after half of the wait, before peers are asked for a large one.
    */
   mustReadConfiguration(): boolean {
-    const isLacking = this.heardVersion > this.options.state.configurationVersion;
+    const isLacking = this.newestPeerVersion > this.options.state.configurationVersion;
     if (!isLacking) return false;
-    return this.isLeftToPlatform || this.options.now() - this.lacksSinceMs >= this.patienceMs / 2;
+    return this.isTooLargeToRelay || this.options.now() - this.missingSinceMs >= this.configurationWaitMs / 2;
   }
 
-  /** Takes over what a peer says changed in the configuration. What does not fit is asked for, or read, as a whole. */
+  /** Applies a configuration change from a peer. If it does not apply, the complete configuration is requested or read. */
   applyConfigurationChange(change: ConfigurationChange): void {
     const { state, log } = this.options;
-    this.noteVersion(change.version);
+    this.recordPeerVersion(change.version);
     const adopted = state.adoptConfigurationChange(change);
     if (adopted.ok) return;
     log.write('notable', 'configurationChangeUnused', {
@@ -102,7 +103,7 @@
     });
   }
 
-  /** Answers the question of a peer: with what changed since the version that it has, where that is known and small. */
+  /** Answers the request of a peer: for the configuration only with the changes since its version, if known and small. */
   handleRequest(request: ValueRequest): void {
     const { mesh, state } = this.options;
     switch (request.value) {
@@ -122,7 +123,7 @@
     }
   }
 
-  /** Takes over the whole list of endpoints that a peer told, unless this box has a newer one. */
+  /** Applies the complete list of endpoints from a peer, unless this box has a newer one. */
   applyEndpointsValue(value: EndpointsValue): void {
     const { state } = this.options;
     const { era, revision, endpoints, lapsed, evacuatedHalls, address, platformReport } = value;
@@ -131,7 +132,7 @@
     if (platformReport !== undefined) state.recordPeerConfirmation(address, platformReport);
     if (!isNewerPosition(position, state.listPosition)) return;
     const endpointChanges = [{ type: 'snapshot', endpoints, lapsed }] as const;
-    // A box that does not know of such orders says nothing about them.
+    // Boxes of versions without evacuations do not send this list.
     const evacuationChanges =
       evacuatedHalls === undefined ? [] : [{ type: 'snapshot', halls: evacuatedHalls } as const];
     state.applyLists({ endpointChanges, evacuationChanges }, position, 'peer');
@@ -148,44 +149,44 @@
       mesh.send(request.address, { type: 'configurationValue', configuration });
   }
 
-  private get patienceMs(): number {
-    return this.options.applyBoundMs * PATIENCE_SHARE;
+  private get configurationWaitMs(): number {
+    return this.options.applyBoundMs * CONFIGURATION_WAIT_SHARE;
   }
 
-  /** Whether the list of this box has not moved for too long although peers have a newer one. */
-  private isListStuck(peerPosition: ListPosition): boolean {
+  /** Whether the list of this box has not advanced for too long although peers have a newer one. */
+  private isListStale(peerPosition: ListPosition): boolean {
     const { state, now, applyBoundMs } = this.options;
     const position = state.listPosition;
-    if (isNewerPosition(peerPosition, this.heardPosition)) this.heardPosition = peerPosition;
+    if (isNewerPosition(peerPosition, this.newestPeerPosition)) this.newestPeerPosition = peerPosition;
     if (
-      !isNewerPosition(this.heardPosition, position) ||
-      comparePositions(this.stuckAtPosition, position) !== 0
+      !isNewerPosition(this.newestPeerPosition, position) ||
+      comparePositions(this.unchangedPosition, position) !== 0
     ) {
-      this.stuckAtPosition = position;
-      this.stuckSinceMs = now();
+      this.unchangedPosition = position;
+      this.unchangedSinceMs = now();
     }
-    return now() - this.stuckSinceMs >= applyBoundMs * STUCK_SHARE;
+    return now() - this.unchangedSinceMs >= applyBoundMs * STALE_LIST_SHARE;
   }
 
-  private noteVersion(version: number): void {
+  private recordPeerVersion(version: number): void {
     const { state, now } = this.options;
-    if (version <= Math.max(this.heardVersion, state.configurationVersion)) return;
-    // Versions may follow each other faster than they arrive: the wait counts from the first that is missing.
-    if (this.heardVersion <= state.configurationVersion) this.lacksSinceMs = now();
-    this.heardVersion = version;
+    if (version <= Math.max(this.newestPeerVersion, state.configurationVersion)) return;
+    // Versions may be published faster than they arrive: the wait starts with the first that is missing.
+    if (this.newestPeerVersion <= state.configurationVersion) this.missingSinceMs = now();
+    this.newestPeerVersion = version;
   }
 
-  private ask(address: string, lacksConfiguration: boolean, lacksEndpoints: boolean): void {
+  private requestValues(address: string, lacksConfiguration: boolean, lacksEndpoints: boolean): void {
     const { mesh, state, now } = this.options;
     const nowMs = now();
-    if ((!lacksConfiguration && !lacksEndpoints) || nowMs - this.askedAtMs < ASK_MS) return;
-    this.askedAtMs = nowMs;
-    const question = {
+    if ((!lacksConfiguration && !lacksEndpoints) || nowMs - this.requestedAtMs < REQUEST_INTERVAL_MS) return;
+    this.requestedAtMs = nowMs;
+    const request = {
       type: 'valueRequest',
       address: mesh.address,
       configurationVersion: state.configurationVersion,
     } as const;
-    if (lacksConfiguration) mesh.send(address, { ...question, value: 'configuration' });
-    if (lacksEndpoints) mesh.send(address, { ...question, value: 'endpoints' });
+    if (lacksConfiguration) mesh.send(address, { ...request, value: 'configuration' });
+    if (lacksEndpoints) mesh.send(address, { ...request, value: 'endpoints' });
   }
 }
