--- a/packages/router/src/proxy/assignment.ts
+++ b/packages/router/src/proxy/assignment.ts
@@ -1,4 +1,4 @@
-/** Finds out what a request is for. */
+/** Determines the route, team and service of a request. */
 import type { IncomingMessage } from 'node:http';
 import { Err, Ok } from '@hazelwalk/core';
 import type { Result } from '@hazelwalk/core';
@@ -7,21 +7,21 @@
 import { readSharedPrompt } from '../systems/placement.js';
 import { pickTarget } from '../systems/routeIndex.js';
 
-/** What a request is for. */
+/** Route, team and service of a request. */
 export interface Assignment {
   readonly route: Route;
   readonly team: Team | undefined;
   readonly service: string;
-  /** Undefined if the configuration names the service but does not declare it. */
+  /** Undefined if a route names the service but the configuration does not declare it. */
   readonly declared: Service | undefined;
 }
 
-/** Why a request is for nobody. */
+/** Why a request has no route. */
 export type AssignmentFailure = 'notReady' | 'routeUnknown' | 'apiKeyUnknown';
 
 /**
- * Matches a request with the configuration in force. Requests that share a prompt go to the same service of a split
- * route, so that the prompt is not kept twice.
+ * Matches a request against the configuration in force. If a route is split between services, requests with the same
+ * shared prompt go to the same service, so that the prompt is not cached twice.
  */
 export function assignRequest(
   context: RouterContext,
@@ -33,8 +33,8 @@
   const match = index.match(req.headers.host ?? '', readPath(req.url ?? '/'), request.apiKey);
   if (match.type === 'refused') return Err(match.code);
   const { route, team } = match;
-  const spread = readSharedPrompt(request.promptParts) ?? request.requestId;
-  const service = pickTarget(route.targets, context.hash(spread)) ?? '';
+  const splitKey = readSharedPrompt(request.promptParts) ?? request.requestId;
+  const service = pickTarget(route.targets, context.hash(splitKey)) ?? '';
   return Ok({ route, team, service, declared: index.findService(service) });
 }
 
--- a/packages/router/src/proxy/attempt.ts
+++ b/packages/router/src/proxy/attempt.ts
@@ -1,30 +1,30 @@
 /**
- * One attempt: a request sent to one endpoint. It tells what happened in terms that decide whether the request may be
- * sent again: nothing was sent, the endpoint vouches that it did not run, or it may have run.
+ * Sends a request to one endpoint. The events of an attempt distinguish the cases that decide whether the request may
+ * be sent again: nothing was sent, the endpoint confirms that it did not run, or it may have run.
  */
 import type { Socket } from 'node:net';
 import type { Dispatcher } from 'undici';
-import type { ResponseHeaders, HttpDialect } from '../httpDialect.js';
+import type { HttpDialect, ResponseHeaders } from '../httpDialect.js';
 import type { ResponseMetadata } from '../records.js';
 import type { HealthSignal } from '../systems/endpointHealth.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 import { isCloseDelimited } from './forwardHeaders.js';
 import type { ConnectFailure, EndpointConnection, EndpointConnections } from './endpointConnections.js';
 
-/** Why an answer is of no use. The request may have run in each of these cases. */
+/** Why a response cannot be used. The request may have run in each of these cases. */
 export type BreakReason =
-  /** The connection ended before the answer did, or the answer was no HTTP. */
+  /** The connection ended before the response did, or the response was not valid HTTP. */
   | 'connectionLost'
-  /** The answer carries the id of another request. */
+  /** The response carries the id of another request, or none. */
   | 'foreignAnswer'
-  /** A success without a seal. */
+  /** A successful response without the seal of the endpoint. */
   | 'unsealed';
 
-/** The head of an answer. */
-export interface AnswerHead {
+/** The head of a response. */
+export interface ResponseHead {
   readonly status: number;
   readonly headers: ResponseHeaders;
-  readonly facts: ResponseMetadata;
+  readonly metadata: ResponseMetadata;
 }
 
 /** Why an attempt ended before its request was sent. */
@@ -32,19 +32,19 @@
   | ConnectFailure
   /** The endpoint stopped accepting requests while the attempt waited for a connection. */
   | 'endpointDeclined'
-  | CallerObstacle;
+  | AbortReason;
 
-/** Why a request is of no use to its caller any more. */
-export type CallerObstacle =
+/** Why a request is no longer wanted. */
+export type AbortReason =
   /** The caller closed its connection. */
   'callerLeft' | 'deadlinePassed';
 
 /**
- * Maps the reason of an unsent attempt to a health sign of its endpoint; undefined if it says nothing about the endpoint.
+ * Maps the reason of an unsent attempt to a health signal; undefined if the reason does not concern the endpoint.
  *
  * @example findHealthSign('connectionLimit') // undefined
  */
-export function findHealthSign(reason: UnsentReason): HealthSignal | undefined {
+export function findHealthSignal(reason: UnsentReason): HealthSignal | undefined {
   switch (reason) {
     case 'connectionLimit':
     case 'endpointDeclined':
@@ -58,17 +58,17 @@
   }
 }
 
-/** What happens to an attempt. After `unsent`, `notRun`, `end` and `broken` nothing more comes. */
+/** An event of an attempt. `unsent`, `notRun`, `end` and `broken` are final. */
 export type AttemptEvent =
   | { readonly type: 'sent' }
   | { readonly type: 'unsent'; readonly reason: UnsentReason }
-  | { readonly type: 'notRun'; readonly head: AnswerHead }
-  | { readonly type: 'head'; readonly head: AnswerHead }
+  | { readonly type: 'notRun'; readonly head: ResponseHead }
+  | { readonly type: 'head'; readonly head: ResponseHead }
   | { readonly type: 'data'; readonly chunk: Buffer }
   | { readonly type: 'end' }
   | { readonly type: 'broken'; readonly reason: BreakReason; readonly detail: string };
 
-/** A request as it goes to an endpoint. */
+/** A request as it is sent to an endpoint. */
 export interface ForwardedRequest {
   readonly requestId: string;
   readonly method: string;
@@ -78,32 +78,35 @@
   readonly body: Buffer | undefined;
 }
 
-/** What an attempt works with. */
+/** Dependencies and limits of an attempt. */
 export interface AttemptOptions {
   readonly row: EndpointRow;
   readonly connections: EndpointConnections;
   readonly dialect: HttpDialect;
-  /** Why the request is no longer wanted; checked once everything that has arrived from the caller is read. */
-  readonly findAbortReason: () => CallerObstacle | undefined;
-  /** Whether the endpoint still accepts requests; checked after the connection has been acquired. */
+  /**
+   * Returns why the request is no longer wanted, if so; called after all data received from the caller has been read.
+   */
+  readonly findAbortReason: () => AbortReason | undefined;
+  /** Whether the endpoint still accepts requests; called after the connection has been acquired. */
   readonly maySend: () => boolean;
-  /** Builds the request at the moment of sending, so that the time left is right. */
+  /** Builds the request; called right before sending, so that the remaining time that it states is correct. */
   readonly createRequest: () => ForwardedRequest;
   readonly maxIdleMs: number;
   readonly maxConnections: number;
   readonly onEvent: (attempt: Attempt, event: AttemptEvent) => void;
   /** Called for the head of every final response, including responses that the attempt then discards. */
-  readonly onAnswerFacts: (row: EndpointRow, facts: ResponseMetadata) => void;
+  readonly onResponseMetadata: (row: EndpointRow, metadata: ResponseMetadata) => void;
 }
 
-/** The library takes a name for TLS; its types do not say so. */
+/** Undici accepts a server name for TLS here, but its types lack the option. */
 interface PlainDispatchOptions extends Dispatcher.DispatchOptions {
   readonly servername: string;
 }
 
 /**
- * Without a name the library looks, for each request, whether the caller's `Host` is an address, which costs more than any other
- * step of sending it. The name is never sent: connections to endpoints are plain.
+ * Without a server name undici checks for each request whether the caller's `Host` is an IP address, which costs more
+ * than any other step of sending the request. The name is never sent, because connections to endpoints do not use
+ * TLS.
  */
 const UNUSED_SERVER_NAME = 'endpoint';
 
@@ -112,44 +115,47 @@
   | { readonly type: 'open'; readonly connection: EndpointConnection }
   | { readonly type: 'over' };
 
-const LEAST_SUCCESS = 200;
-const LEAST_REDIRECT = 300;
+const MIN_SUCCESS_STATUS = 200;
+const MIN_REDIRECT_STATUS = 300;
 
 /**
- * Whether a connection that ended was reset. Where a reset follows the last bytes closely, Node reports a regular end;
- * but a connection that was reset has no peer any more.
+ * Whether a connection that ended was reset. If a reset follows the last bytes closely, Node reports a regular end, but
+ * the socket no longer has a remote port.
  */
 function wasReset(socket: Socket): boolean {
   return socket.errored !== null || socket.remotePort === undefined;
 }
 
 /**
- * Resolves once the loop has read its sockets again. A caller that gave up while this process stood still has sent its
- * request and the close of its connection; the loop reads the close one turn after the request. The same holds for the
- * close of a kept connection to an endpoint.
+ * Resolves once the event loop has read its sockets again. If a caller gave up while this process was paused, both its
+ * request and the close of its connection are waiting; the loop reads the close one turn after the request. The same
+ * applies to the close of a kept-alive connection to an endpoint.
  */
-function readSockets(): Promise<void> {
-  // The first one runs before the sockets are read again, the second one after.
+function waitForSocketReads(): Promise<void> {
+  // The first callback runs before the sockets are read again, the second one after.
   return new Promise((resolve) => setImmediate(() => setImmediate(resolve)));
 }
 
-/** A request at one endpoint. */
+/** One attempt at one endpoint. */
 export class Attempt {
   readonly row: EndpointRow;
-  /** When the request was handed to the connection; 0 before. Silence counts from here: later if this process stood still. */
+  /**
+   * When the request was written to the connection; 0 before. The silence of the endpoint is measured from here, so
+   * this is moved forward by each pause of this process.
+   */
   sentAtMs = 0;
-  /** When the request was handed to the connection. */
+  /** When the request was written to the connection, regardless of pauses. */
   handedOverAtMs = 0;
-  /** When a second endpoint was wanted beside it last. */
+  /** When a hedge for this attempt was last requested. */
   hedgeWantedAtMs = -Infinity;
-  /** Its connection said nothing for so long that others like it were closed. */
-  isDoubted = false;
+  /** Whether the idle connections to the endpoint were closed because this connection was silent for too long. */
+  hasRetiredConnections = false;
   private phase: AttemptPhase = { type: 'connecting' };
   private controller: Dispatcher.DispatchController | undefined;
-  /** The rest of the answer is read and dropped, so that the connection can be used again. */
+  /** The rest of the response is read and dropped, so that the connection can be reused. */
   private isDiscarded = false;
-  private notRunHead: AnswerHead | undefined;
-  /** The answer has no length: it is whole if its connection ends regularly. */
+  private notRunHead: ResponseHead | undefined;
+  /** The response has no length: it is complete if its connection ends without a reset. */
   private endsWithConnection = false;
 
   constructor(private readonly options: AttemptOptions) {
@@ -157,13 +163,13 @@
     this.row.inFlight += 1;
   }
 
-  /** Connects and sends. */
+  /** Acquires a connection and sends the request. */
   async start(): Promise<void> {
     const { row, connections, maxIdleMs, maxConnections } = this.options;
-    await readSockets();
+    await waitForSocketReads();
     if (this.isOver) return;
-    const obstacle = this.options.findAbortReason();
-    if (obstacle !== undefined) return this.finish({ type: 'unsent', reason: obstacle });
+    const abortReason = this.options.findAbortReason();
+    if (abortReason !== undefined) return this.finish({ type: 'unsent', reason: abortReason });
     const acquired = await connections.acquire(row, maxIdleMs, maxConnections);
     if (this.isOver) {
       if (acquired.ok) connections.release(row, acquired.val);
@@ -178,7 +184,7 @@
     this.send(acquired.val);
   }
 
-  /** Ends the attempt and its connection; the endpoint sees that nobody waits. */
+  /** Ends the attempt and closes its connection, so that the endpoint can stop working on the request. */
   cancel(): void {
     const { phase } = this;
     if (phase.type === 'over') return;
@@ -190,22 +196,22 @@
     return this.phase.type === 'over';
   }
 
-  /** Whether it goes on a connection that carried a request before. */
+  /** Whether the connection has carried an earlier request. */
   get isOnKeptConnection(): boolean {
     return this.phase.type === 'open' && this.phase.connection.isKept;
   }
 
-  /** Loses interest in the rest of an answer that is not needed. */
+  /** Drops the rest of a response that is not needed, without further events. */
   discard(): void {
     this.isDiscarded = true;
   }
 
-  /** Stops reading until `resume`: the caller reads more slowly than the endpoint writes. */
+  /** Stops reading until `resume` is called, because the caller reads more slowly than the endpoint writes. */
   pause(): void {
     this.controller?.pause();
   }
 
-  /** Goes on reading. */
+  /** Continues reading after `pause`. */
   resume(): void {
     if (this.phase.type === 'open' && this.controller?.paused === true) this.controller.resume();
   }
@@ -228,27 +234,28 @@
       onResponseStart: (_controller, status, headers) => this.handleHead(request, status, headers),
       onResponseData: (_controller, chunk) => this.handleData(chunk),
       onResponseEnd: () => this.handleEnd(connection),
-      onResponseError: (_controller, error) => this.breakOff('connectionLost', error.message),
+      onResponseError: (_controller, error) => this.markBroken('connectionLost', error.message),
     });
   }
 
   private handleHead(request: ForwardedRequest, status: number, headers: ResponseHeaders): void {
-    if (status < LEAST_SUCCESS) return;
-    const facts = this.options.dialect.readResponse(status, headers);
-    this.options.onAnswerFacts(this.row, facts);
+    if (status < MIN_SUCCESS_STATUS) return;
+    const metadata = this.options.dialect.readResponse(status, headers);
+    this.options.onResponseMetadata(this.row, metadata);
     if (this.isOver) return;
-    const head = { status, headers, facts };
+    const head = { status, headers, metadata };
     this.endsWithConnection = isCloseDelimited(headers);
-    if (facts.requestId !== undefined && facts.requestId !== request.requestId) {
-      return this.breakOff('foreignAnswer', `answer to ${facts.requestId}`);
+    if (metadata.requestId !== undefined && metadata.requestId !== request.requestId) {
+      return this.markBroken('foreignAnswer', `answer to ${metadata.requestId}`);
     }
-    if (facts.isNotRun) {
+    if (metadata.isNotRun) {
       this.notRunHead = head;
       return;
     }
-    const isSuccess = status >= LEAST_SUCCESS && status < LEAST_REDIRECT;
-    if (facts.requestId === undefined) return this.breakOff('foreignAnswer', 'answer without a request id');
-    if (isSuccess && !facts.isSealed) return this.breakOff('unsealed', `status ${status}`);
+    const isSuccess = status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS;
+    if (metadata.requestId === undefined)
+      return this.markBroken('foreignAnswer', 'answer without a request id');
+    if (isSuccess && !metadata.isSealed) return this.markBroken('unsealed', `status ${status}`);
     this.emit({ type: 'head', head });
   }
 
@@ -261,19 +268,19 @@
     if (this.isOver) return;
     const { connections, row } = this.options;
     if (this.endsWithConnection && wasReset(connection.socket)) {
-      return this.breakOff('connectionLost', 'reset in an answer without a length');
+      return this.markBroken('connectionLost', 'reset in an answer without a length');
     }
     this.close();
-    // The library decides in this turn whether the connection can be kept.
+    // Undici decides within this turn of the loop whether the connection can be kept.
     setImmediate(() => connections.release(row, connection));
     if (this.notRunHead !== undefined) this.emit({ type: 'notRun', head: this.notRunHead });
     else if (!this.isDiscarded) this.emit({ type: 'end' });
   }
 
-  private breakOff(reason: BreakReason, detail: string): void {
+  private markBroken(reason: BreakReason, detail: string): void {
     const { phase } = this;
     if (phase.type === 'over') return;
-    // A refusal is true even if its body does not arrive whole.
+    // The confirmation in the head remains valid even if the body is incomplete.
     const { notRunHead } = this;
     this.finish(
       notRunHead === undefined ? { type: 'broken', reason, detail } : { type: 'notRun', head: notRunHead },
--- a/packages/router/src/proxy/attemptSet.ts
+++ b/packages/router/src/proxy/attemptSet.ts
@@ -1,4 +1,4 @@
-/** The attempts of one request: where it was sent, and what is proved of each. */
+/** Keeps the attempts of one request: the endpoints it was sent to, and whether it may have run at any of them. */
 import type { IncomingMessage } from 'node:http';
 import { Err, Ok } from '@hazelwalk/core';
 import type { Result } from '@hazelwalk/core';
@@ -9,33 +9,33 @@
 import type { EndpointRow } from '../tables/endpointTable.js';
 import type { Assignment } from './assignment.js';
 import { Attempt } from './attempt.js';
-import type { AttemptEvent, CallerObstacle, ForwardedRequest } from './attempt.js';
-import type { AttemptFacts } from './exchangeLog.js';
+import type { AbortReason, AttemptEvent, ForwardedRequest } from './attempt.js';
+import type { AttemptLogFields } from './exchangeLog.js';
 import { describePlacement } from './exchangeLog.js';
-import { keepForwarded } from './forwardHeaders.js';
+import { selectRequestHeaders } from './forwardHeaders.js';
 import { isRepeatable } from './silence.js';
 
-/** A request that runs at most once goes on a connection that was used a moment ago, or on a new one. */
+/** Longest idle time of a connection reused for a request that must run at most once; otherwise a new one is opened. */
 const ONCE_MAX_IDLE_MS = 1_000;
 const REPEATABLE_MAX_IDLE_MS = 20_000;
-/** Connections that an endpoint of an undeclared service is assumed to take. */
+/** Connections that an endpoint of an undeclared service is assumed to accept. */
 const DEFAULT_MAX_CONNECTIONS = 64;
 
-/** Endpoints that may be tried in vain before a request is refused; nothing is sent to them. */
-const MAX_UNSENT = 4;
-/** Less time than this is not worth another attempt. */
-const LEAST_ATTEMPT_MS = 50;
+/** Attempts that may end before anything is sent; one more and the request is refused. */
+const MAX_UNSENT_ATTEMPTS = 4;
+/** No further attempt is started with less time left than this. */
+const MIN_ATTEMPT_MS = 50;
 
-/** Route and team may each name regions: both bind. */
-function listRegionBounds({ route, team }: Assignment): (readonly string[])[] {
+/** Returns the allowed regions of the route and of the team; an endpoint has to satisfy both. */
+function listRegionRestrictions({ route, team }: Assignment): (readonly string[])[] {
   return [route.allowedRegions, team?.allowedRegions].filter((regions) => regions !== undefined);
 }
 
-/** What the attempts need of their request. */
+/** The request of the attempts, and the handler of their events. */
 export interface AttemptSetOptions {
   readonly req: IncomingMessage;
   readonly request: CallerRequest;
-  /** When the request ends at the latest. */
+  /** Returns the time at which the request expires. */
   readonly readExpiry: () => number;
   readonly onEvent: (attempt: Attempt, event: AttemptEvent) => void;
 }
@@ -45,11 +45,11 @@
   readonly live: Attempt[] = [];
   body: Buffer | undefined;
   unsentCount = 0;
-  /** Attempts whose endpoint vouches that it did not run them. */
+  /** Attempts whose endpoint confirmed that the request did not run. */
   notRunCount = 0;
   private lastChoice: PlacementChoice | undefined;
-  /** Endpoints that the request was handed to. */
-  private sent = 0;
+  /** Attempts that sent the request to their endpoint. */
+  private sentCount = 0;
   private readonly triedIds = new Set<string>();
 
   constructor(
@@ -57,20 +57,20 @@
     private readonly options: AttemptSetOptions,
   ) {}
 
-  /** Whether it cannot be ruled out that the request ran. */
+  /** Whether the request may have run at any endpoint. */
   get mayHaveRun(): boolean {
-    return this.sent > this.notRunCount;
+    return this.sentCount > this.notRunCount;
   }
 
-  /** Whether so many endpoints were out of reach that no other one is tried. */
-  get hasTriedEnough(): boolean {
-    return this.unsentCount > MAX_UNSENT;
+  /** Whether so many attempts ended before anything was sent that no other endpoint is tried. */
+  get hasReachedUnsentLimit(): boolean {
+    return this.unsentCount > MAX_UNSENT_ATTEMPTS;
   }
 
-  /** Whether time and the route's attempts allow another attempt. */
+  /** Whether the remaining time and the route's attempt limit allow another attempt. */
   mayOpenAnother(route: Route): boolean {
-    const hasTime = this.options.readExpiry() - this.context.now() >= LEAST_ATTEMPT_MS;
-    return hasTime && this.sent < route.maxAttempts;
+    const hasTime = this.options.readExpiry() - this.context.now() >= MIN_ATTEMPT_MS;
+    return hasTime && this.sentCount < route.maxAttempts;
   }
 
   /** Whether the request may be sent once more after an attempt that may have run. */
@@ -80,9 +80,9 @@
     );
   }
 
-  /** What the lines of the request say of its attempts. */
-  listFacts(): AttemptFacts {
-    return { sent: this.sent, unsent: this.unsentCount, ...describePlacement(this.lastChoice) };
+  /** Log fields that describe the attempts. */
+  createLogFields(): AttemptLogFields {
+    return { sent: this.sentCount, unsent: this.unsentCount, ...describePlacement(this.lastChoice) };
   }
 
   get lastTriedId(): string | undefined {
@@ -90,21 +90,24 @@
   }
 
   /**
-   * Starts an attempt at an endpoint that was not tried yet, or tells why there is none.
+   * Starts an attempt at an endpoint that was not tried yet, or returns why none can be chosen.
    *
-   * @param resumeAfter id of the last event that the caller has, if its stream goes on
-   * @param isSpread the endpoint is drawn at random, whatever the prompt
+   * @param resumeAfter id of the last event that the caller has received, if a stream is resumed
+   * @param isPlacedRandomly draws the endpoint at random instead of by the prompt
    */
   open(
     assignment: Assignment,
     resumeAfter: string | undefined,
-    isSpread: boolean,
+    isPlacedRandomly: boolean,
   ): Result<void, PlacementFailure> {
     const { context, options } = this;
-    const wanted = this.createPlacementRequest(assignment, isSpread ? [] : options.request.promptParts);
+    const placementRequest = this.createPlacementRequest(
+      assignment,
+      isPlacedRandomly ? [] : options.request.promptParts,
+    );
     const nowMs = context.now();
-    const choice = context.placement.choose(wanted, nowMs);
-    if (choice === undefined) return Err(context.placement.explainFailure(wanted, nowMs));
+    const choice = context.placement.choose(placementRequest, nowMs);
+    if (choice === undefined) return Err(context.placement.explainFailure(placementRequest, nowMs));
     const { row } = choice;
     this.lastChoice = choice;
     context.metrics.placements.inc({ way: choice.way });
@@ -114,26 +117,26 @@
       row,
       connections: context.connections,
       dialect: context.dialect,
-      findAbortReason: () => this.findObstacle(),
+      findAbortReason: () => this.findAbortReason(),
       maySend: () => acceptsRequests(row, context.now()),
       createRequest: () => this.createRequest(row, assignment, resumeAfter, cacheSource),
       maxIdleMs: isRepeatable(assignment.route) ? REPEATABLE_MAX_IDLE_MS : ONCE_MAX_IDLE_MS,
       maxConnections: assignment.declared?.maxConnections ?? DEFAULT_MAX_CONNECTIONS,
       onEvent: options.onEvent,
-      onAnswerFacts: context.recordAnnouncements,
+      onResponseMetadata: context.recordAnnouncements,
     });
     this.live.push(attempt);
     void attempt.start();
     return Ok(undefined);
   }
 
-  /** Time until the first back-off among the endpoints that the request may reach ends; 0 if any of them has none. */
+  /** Time until the first back-off among the endpoints that the request may use ends; 0 if any of them has none. */
   readLeastBackOffMs(assignment: Assignment): number {
     const { context } = this;
     return context.placement.readLeastBackOffMs(this.createPlacementRequest(assignment, []), context.now());
   }
 
-  /** Takes an attempt out; `end` says why, for the counters. */
+  /** Removes an attempt and counts how it ended: `end` is the label of the metric. */
   drop(attempt: Attempt, end: string): void {
     const at = this.live.indexOf(attempt);
     if (at < 0) return;
@@ -141,9 +144,9 @@
     this.context.metrics.attempts.inc({ end });
   }
 
-  private findObstacle(): CallerObstacle | undefined {
+  private findAbortReason(): AbortReason | undefined {
     const { req, readExpiry } = this.options;
-    // The server closes a connection whose caller has closed its side.
+    // Once the caller has closed its side, the server closes the connection.
     if (req.socket.readableEnded || req.socket.destroyed) return 'callerLeft';
     return readExpiry() <= this.context.now() ? 'deadlinePassed' : undefined;
   }
@@ -155,7 +158,7 @@
     return {
       service: assignment.service,
       coldStart: assignment.declared?.coldStart,
-      allowedRegions: listRegionBounds(assignment),
+      allowedRegions: listRegionRestrictions(assignment),
       promptParts,
       excluded: this.triedIds,
     };
@@ -169,7 +172,7 @@
   ): ForwardedRequest {
     const { context, options } = this;
     const { req, request } = options;
-    this.sent += 1;
+    this.sentCount += 1;
     const forwarded = context.dialect.writeForwardedHeaders({
       deadlineMs: Math.max(1, Math.round(options.readExpiry() - context.now())),
       endpointId: row.listing.id,
@@ -184,7 +187,7 @@
       requestId: request.requestId,
       method: req.method ?? 'GET',
       path: req.url ?? '/',
-      headers: [...keepForwarded(req.rawHeaders, dropped), ...forwarded],
+      headers: [...selectRequestHeaders(req.rawHeaders, dropped), ...forwarded],
       body: this.body,
     };
   }
--- a/packages/router/src/proxy/callerServer.ts
+++ b/packages/router/src/proxy/callerServer.ts
@@ -1,8 +1,8 @@
 /**
- * The callers' side: an HTTP server that hands each request to an exchange.
+ * The HTTP server for callers; an exchange handles each request.
  *
- * A planned stop goes on accepting for a while, since callers are still sent here until the platform has seen that
- * the box is not ready; then it closes idle connections and ends when the last request has its answer.
+ * During a graceful shutdown the server keeps accepting for a while, because callers are still sent here until the
+ * platform has noticed that the box is not ready. It then closes idle connections and stops after the last response.
  */
 import { createServer, STATUS_CODES } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -14,15 +14,18 @@
 import { Exchange } from './exchange.js';
 import { sendRefusal } from './refusal.js';
 
-/** Heads larger than this are refused by the parser, whatever the configuration allows. */
+/** The parser refuses request heads larger than this, whatever the configuration allows. */
 const PARSER_MAX_HEADER_BYTES = 65_536;
-/** Idle connections outlive what callers were told by this much, so that none meets a close. */
-const IDLE_SLACK_MS = 3_000;
-/** Pace at which slow heads and idle connections are looked for. */
-const CONNECTION_CHECK_MS = 1_000;
-/** Connections that wait to be accepted; a full queue costs a caller seconds. */
+/**
+ * Idle connections are kept this much longer than the idle timeout that callers know, so that no request meets a
+ * close.
+ */
+const IDLE_MARGIN_MS = 3_000;
+/** Interval of the checks for request heads that take too long. */
+const CONNECTION_CHECK_INTERVAL_MS = 1_000;
+/** Length of the queue of connections to be accepted; if it is full, a caller is delayed by seconds. */
 const BACKLOG = 1_024;
-/** Overhead of a header line in the size of a head: colon, space and line end. */
+/** Bytes that a header line adds to name and value: colon, space and line end. */
 const HEADER_LINE_OVERHEAD_BYTES = 4;
 
 /** Serves callers. */
@@ -33,21 +36,21 @@
     this.server = createServer(
       {
         maxHeaderSize: PARSER_MAX_HEADER_BYTES,
-        connectionsCheckingInterval: CONNECTION_CHECK_MS,
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
         requestTimeout: 0,
         noDelay: true,
       },
       (req, res) => this.handleRequest(req, res),
     );
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket) =>
-      this.handleBadHead(error, socket as Socket),
+      this.handleParseError(error, socket as Socket),
     );
   }
 
-  /** Takes over the bounds of a new configuration. */
+  /** Applies the limits of a new configuration. */
   applyLimits(limits: CallerLimits): void {
     this.server.headersTimeout = limits.headerTimeoutMs;
-    this.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_SLACK_MS;
+    this.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS;
   }
 
   /** Binds the server. Rejects if the address is taken. */
@@ -61,19 +64,19 @@
     });
   }
 
-  /** Port that it got. */
+  /** Port on which the server listens; 0 if it is not bound. */
   get port(): number {
     const address = this.server.address();
     return typeof address === 'object' && address !== null ? address.port : 0;
   }
 
-  /** Accepts no more connections and closes those on which no request is under way. */
+  /** Stops accepting connections and closes those without a request in progress. */
   stopAccepting(): void {
     if (this.server.listening) this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** Accepts no more connections and closes all. */
+  /** Stops accepting connections and closes all of them. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -98,19 +101,19 @@
     sendRefusal(res, context.dialect, { code, ran: 'no', retryAfterMs: 0 }, requestId, true);
   }
 
-  private handleBadHead(error: NodeJS.ErrnoException, socket: Socket): void {
-    const code = findHeadProblem(error);
+  private handleParseError(error: NodeJS.ErrnoException, socket: Socket): void {
+    const code = classifyParseError(error);
     if (code !== undefined) {
       this.context.metrics.outcomes.inc({ outcome: code });
       this.context.log.write('notable', 'requestRefused', { code, detail: error.code });
-      if (socket.writable && socket.bytesWritten === 0) return void socket.end(formatRawProblem(code));
+      if (socket.writable && socket.bytesWritten === 0) return void socket.end(formatProblemResponse(code));
     }
     socket.destroy();
   }
 }
 
-/** What was wrong with bytes that are no request; undefined if the connection just broke. */
-function findHeadProblem(error: NodeJS.ErrnoException): ResultCode | undefined {
+/** Returns the result code for a request head that could not be parsed; undefined if the connection merely broke. */
+function classifyParseError(error: NodeJS.ErrnoException): ResultCode | undefined {
   if (error.code === 'HPE_HEADER_OVERFLOW') return 'headersTooLarge';
   if (error.code === 'ERR_HTTP_REQUEST_TIMEOUT' || error.code?.startsWith('HPE_') === true)
     return 'malformedRequest';
@@ -122,7 +125,7 @@
   return req.rawHeaders.reduce((sum, part) => sum + part.length, text + HEADER_LINE_OVERHEAD_BYTES);
 }
 
-function formatRawProblem(code: ResultCode): string {
+function formatProblemResponse(code: ResultCode): string {
   const body = createProblemBody({ code, ran: 'no', retryAfterMs: 0 }, '');
   const text = JSON.stringify(body);
   const lines = [
--- a/packages/router/src/proxy/crashCheck.ts
+++ b/packages/router/src/proxy/crashCheck.ts
@@ -1,22 +1,25 @@
 /**
- * Tells a crashed endpoint from a broken link. A connection that breaks off looks the same in both cases; but where
- * nobody listens any more a new connection is refused, and where only the link was at fault it comes up or hears nothing.
- * What stays in doubt: a link that refuses in the endpoint's place, which hits all endpoints behind it at the same time,
- * and an endpoint that is back within the round trip of the check, whose crash goes unseen.
+ * Distinguishes a crashed endpoint from a broken link. A connection that breaks off looks the same in both cases, but
+ * a new connection is refused if no process listens any more, while after a fault of the link it succeeds or times
+ * out.
+ *
+ * Two cases are misjudged: a device on the link that refuses connections in place of the endpoints counts as a crash
+ * of all endpoints behind it at the same time, and the crash of an endpoint that is back within the round trip of the
+ * check is missed.
  */
 import { isLeaving } from '../systems/endpointNotices.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 import type { EndpointConnections } from './endpointConnections.js';
 
-/** What became of an endpoint that broke off a request. */
+/** State of an endpoint that broke off a request. */
 export type CrashCheckResult =
   | 'crashed'
   /** It accepts connections. */
   | 'running'
-  /** Nothing was heard, or it was about to end anyway. */
+  /** The check timed out or failed, or the endpoint was about to stop anyway. */
   | 'unknown';
 
-/** Checks endpoints, each once for all requests that it broke off at the same time. */
+/** Checks endpoints for crashes. Requests that break off at the same time share one check of their endpoint. */
 export class CrashCheck {
   private readonly pending = new Map<string, Promise<CrashCheckResult>>();
 
@@ -27,21 +30,21 @@
   ) {}
 
   /**
-   * Asks the endpoint for a connection; takes a round trip, a quarter of a second at most.
+   * Connects to the endpoint; takes one round trip, a quarter of a second at most.
    *
-   * @example if ((await crashCheck.check(row)) === 'crashed') relay.noteCrash(content, run);
+   * @example if ((await crashCheck.check(row)) === 'crashed') relay.recordCrash(fingerprint, run);
    */
   check(row: EndpointRow): Promise<CrashCheckResult> {
     const { id } = row.listing;
     const pending = this.pending.get(id);
     if (pending !== undefined) return pending;
-    const verdict = this.connect(row).finally(() => this.pending.delete(id));
-    this.pending.set(id, verdict);
-    return verdict;
+    const result = this.connect(row).finally(() => this.pending.delete(id));
+    this.pending.set(id, result);
+    return result;
   }
 
   private async connect(row: EndpointRow): Promise<CrashCheckResult> {
-    // It ends as planned, or its entry is gone: that says nothing against what it had under way.
+    // It leaves as planned, or its entry has lapsed: its requests did not cause this.
     const isEnding = isLeaving(row) || row.isLapsed;
     const reached = await this.connections.check(row);
     if (reached.ok) return 'running';
--- a/packages/router/src/proxy/endpointConnections.ts
+++ b/packages/router/src/proxy/endpointConnections.ts
@@ -1,7 +1,7 @@
 /**
- * Connections to endpoints: one request at a time on each, kept open between requests, within the number that an
- * endpoint accepts. A connection is made before a request is handed to it, so that a failure to connect proves that
- * nothing was sent.
+ * Pools of connections to endpoints: one request at a time on each connection, kept alive between requests, within the
+ * number that an endpoint accepts. A connection is established before a request is assigned to it, so that a failure to
+ * connect proves that nothing was sent.
  */
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
@@ -10,21 +10,24 @@
 import { Client } from './httpClient.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 
-/** Links between halls take some milliseconds; a connection that is not up by then meets a cut or a dead host. */
+/**
+ * Links between halls take a few milliseconds; if connecting takes longer than this, the link is cut or the host is
+ * down.
+ */
 const CONNECT_TIMEOUT_MS = 250;
-/** Kept connections carry keep-alive probes after this much silence. */
+/** Idle time after which TCP keep-alive probes are sent. */
 const KEEP_ALIVE_PROBE_MS = 5_000;
-/** A connection idle for longer is closed by this side, unless the endpoint announced less. */
-const IDLE_MS = 60_000;
-/** Part of an endpoint's connections that all boxes together may use. */
-const USED_CONNECTIONS_SHARE = 0.9;
+/** Idle connections are closed after this, or earlier if the endpoint announced a shorter time. */
+const IDLE_TIMEOUT_MS = 60_000;
+/** Share of an endpoint's connections that all boxes together may use. */
+const USABLE_CONNECTIONS_SHARE = 0.9;
 
-/** Why there is no connection. Nothing was sent in any of these cases. */
+/** Why no connection was acquired. Nothing was sent in any of these cases. */
 export type ConnectFailure =
-  /** Nobody listens there: the process that did has ended. */
+  /** No process listens on the port: the process of the endpoint has ended. */
   | 'connectRefused'
   | 'connectTimedOut'
-  /** Any other error of the network. */
+  /** Any other network error. */
   | 'connectBroken'
   | 'connectionLimit';
 
@@ -33,7 +36,7 @@
   readonly client: Client;
   readonly socket: Socket;
   idleSinceMs: number;
-  /** It carried a request before the present one. */
+  /** Whether it has carried an earlier request. */
   isKept: boolean;
 }
 
@@ -42,7 +45,7 @@
   openCount: number;
 }
 
-/** What the pools need to know. */
+/** Dependencies of the connection pools. */
 export interface EndpointConnectionsOptions {
   readonly countBoxes: () => number;
   readonly now: () => number;
@@ -57,9 +60,9 @@
   constructor(private readonly options: EndpointConnectionsOptions) {}
 
   /**
-   * Takes an idle connection or makes a new one.
+   * Takes an idle connection or opens a new one.
    *
-   * @param maxIdleMs a connection that rested for longer is not used
+   * @param maxIdleMs a connection that has been idle for longer is not used
    * @param maxConnections connections that the endpoint accepts from all boxes
    */
   async acquire(
@@ -71,18 +74,18 @@
     const idle = this.takeIdle(pool, maxIdleMs);
     if (idle !== undefined) return Ok(idle);
     const share = Math.floor(
-      (maxConnections * USED_CONNECTIONS_SHARE) / Math.max(1, this.options.countBoxes()),
+      (maxConnections * USABLE_CONNECTIONS_SHARE) / Math.max(1, this.options.countBoxes()),
     );
     if (pool.openCount >= Math.max(1, share)) return Err('connectionLimit');
     return this.open(row, pool);
   }
 
-  /** Gives a connection back after a whole answer. */
+  /** Returns a connection to its pool after a complete response. */
   release(row: EndpointRow, connection: EndpointConnection): void {
-    // An endpoint that answered before it read the whole body may never read the rest.
+    // An endpoint that responded before it read the whole request body may never read the rest.
     if (connection.socket.writableLength > 0) connection.socket.destroy();
     const pool = this.pools.get(row.listing.id);
-    // An endpoint that is gone meanwhile is not asked again.
+    // The endpoint has been removed in the meantime.
     if (pool === undefined) connection.socket.destroy();
     if (pool === undefined || connection.socket.destroyed) return;
     connection.idleSinceMs = this.options.now();
@@ -90,13 +93,16 @@
     pool.idle.push(connection);
   }
 
-  /** Closes the idle connections of an endpoint that is gone. */
+  /** Closes the idle connections of an endpoint that was removed. */
   forget(endpointId: string): void {
     for (const connection of this.pools.get(endpointId)?.idle ?? []) connection.socket.destroy();
     this.pools.delete(endpointId);
   }
 
-  /** Closes the idle connections of an endpoint: one like them says nothing, and the next request needs a sound one. */
+  /**
+   * Closes the idle connections of an endpoint after one of its connections went silent: the next request gets a new
+   * one.
+   */
   retireIdle(endpointId: string): void {
     for (const connection of this.pools.get(endpointId)?.idle.splice(0) ?? []) connection.socket.destroy();
   }
@@ -106,7 +112,7 @@
     for (const endpointId of [...this.pools.keys()]) this.forget(endpointId);
   }
 
-  /** Finds out whether an endpoint accepts connections; nothing is sent. */
+  /** Checks whether an endpoint accepts connections; nothing is sent. */
   async check(row: EndpointRow): Promise<Result<void, ConnectFailure>> {
     const socket = await this.connectSocket(row);
     if (socket.err) return socket;
@@ -123,7 +129,7 @@
     return pool;
   }
 
-  /** The connection used last is the least likely to have been closed at the other end. */
+  /** Takes the connection that was used last: it is the least likely to have been closed by the endpoint. */
   private takeIdle(pool: EndpointPool, maxIdleMs: number): EndpointConnection | undefined {
     const nowMs = this.options.now();
     for (;;) {
@@ -140,13 +146,13 @@
     pool: EndpointPool,
   ): Promise<Result<EndpointConnection, ConnectFailure>> {
     pool.openCount += 1;
-    const made = await this.connectSocket(row);
-    if (made.err) {
+    const connected = await this.connectSocket(row);
+    if (connected.err) {
       pool.openCount -= 1;
-      return made;
+      return connected;
     }
     this.options.onOpened();
-    const socket = made.val;
+    const socket = connected.val;
     const connection = {
       client: createClient(row, socket),
       socket,
@@ -179,7 +185,8 @@
         clearTimeout(timer);
         resolve(Ok(socket));
       });
-      // Stays for the life of the socket: an error is always followed by `close`, which is what counts.
+      // This listener stays for the lifetime of the socket; an error is always followed by `close`, which updates the
+      // pool.
       socket.on('error', (error: NodeJS.ErrnoException) => {
         clearTimeout(timer);
         resolve(Err(error.code === 'ECONNREFUSED' ? 'connectRefused' : 'connectBroken'));
@@ -188,18 +195,18 @@
   }
 }
 
-/** A client that lives and dies with one socket. */
+/** Creates a client for one socket; it does not reconnect. */
 function createClient(row: EndpointRow, socket: Socket): Client {
   let isUsed = false;
   return new Client(`http://${row.listing.host}:${row.listing.port}`, {
     pipelining: 1,
     headersTimeout: 0,
     bodyTimeout: 0,
-    keepAliveTimeout: IDLE_MS,
+    keepAliveTimeout: IDLE_TIMEOUT_MS,
     connect: (_options, callback) => {
       const isLost = isUsed || socket.destroyed;
       isUsed = true;
-      // The library does not go on with its queue if it is called back at once.
+      // Undici does not continue with its queue if the callback is called synchronously.
       queueMicrotask(() =>
         isLost ? callback(new Error('the connection is closed'), null) : callback(null, socket),
       );
--- a/packages/router/src/proxy/eventSplitter.ts
+++ b/packages/router/src/proxy/eventSplitter.ts
@@ -1,43 +1,43 @@
 /**
- * Cuts the bytes of an event stream into whole events and follows their ids, so that a broken stream can go on at
- * another endpoint without losing, repeating or splitting an event.
+ * Splits the bytes of an event stream into complete events and tracks their ids, so that a broken stream can be resumed
+ * at another endpoint without losing, repeating or splitting an event.
  */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** Whole events, and the id of the last of them. */
-export interface WholeEvents {
+/** Complete events, and the id of the last one that has an id. */
+export interface CompleteEvents {
   readonly bytes: Buffer;
   readonly lastEventId: string | undefined;
 }
 
-/** Collects chunks and returns the whole events among them. */
+/** Collects chunks and returns the complete events in them. */
 export class EventSplitter {
   private pending: Buffer = Buffer.alloc(0);
 
-  /** Adds a chunk; returns the events it completed, if any. */
-  push(chunk: Buffer): WholeEvents | undefined {
+  /** Adds a chunk; returns the events that are now complete, if any. */
+  push(chunk: Buffer): CompleteEvents | undefined {
     const bytes = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const end = findLastEventEnd(bytes);
     this.pending = bytes.subarray(end);
     if (end === 0) return undefined;
-    const whole = bytes.subarray(0, end);
-    return { bytes: whole, lastEventId: readLastEventId(whole) };
+    const complete = bytes.subarray(0, end);
+    return { bytes: complete, lastEventId: readLastEventId(complete) };
   }
 
-  /** Drops an event that was cut off, before the stream goes on elsewhere. */
+  /** Drops an incomplete event before the stream is resumed at another endpoint. */
   reset(): void {
     this.pending = Buffer.alloc(0);
   }
 
-  /** Bytes of an event that is not complete. */
+  /** Bytes of the incomplete event at the end. */
   get pendingBytes(): Buffer {
     return this.pending;
   }
 }
 
-/** Offset after the last blank line, 0 if there is none. */
+/** Offset after the last blank line; 0 if there is none. */
 function findLastEventEnd(bytes: Buffer): number {
   for (let at = bytes.length - 1; at > 0; at -= 1) {
     if (bytes[at] !== LINE_FEED) continue;
--- a/packages/router/src/proxy/exchange.ts
+++ b/packages/router/src/proxy/exchange.ts
@@ -1,49 +1,49 @@
 /**
- * One request of a caller, from its head to the last byte of its answer.
+ * Handles one request of a caller, from its head to the last byte of the response.
  *
- * A request is sent again only if nothing was sent, if an endpoint vouches that it did not run, or if it may run more
- * than once; and only within the attempts of its route and the fleet's retry budget.
+ * A request is sent again only if nothing of it was sent, if the endpoint confirms that it did not run, or if its route
+ * allows it to run more than once; and only within the route's attempt limit and the fleet's retry budget.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { ResultCode } from '@hazelwalk/core';
 import type { CallerRequest } from '../records.js';
 import type { RouterContext, RunningRequest } from '../routerContext.js';
-import type { AnswerDelivery } from './answerDelivery.js';
-import { createDelivery } from './answerDelivery.js';
-import type { AnswerHead, Attempt, AttemptEvent, BreakReason, UnsentReason } from './attempt.js';
+import type { ResponseDelivery } from './responseDelivery.js';
+import { createDelivery } from './responseDelivery.js';
+import type { Attempt, AttemptEvent, BreakReason, ResponseHead, UnsentReason } from './attempt.js';
 import { assignRequest } from './assignment.js';
 import type { Assignment } from './assignment.js';
-import { findHealthSign } from './attempt.js';
+import { findHealthSignal } from './attempt.js';
 import { AttemptSet } from './attemptSet.js';
-import type { ExchangeFacts, RetryReason } from './exchangeLog.js';
+import type { ExchangeLogFields, RetryReason } from './exchangeLog.js';
 import { logBreak, logOutcome, logRetry } from './exchangeLog.js';
 import type { RouterRefusal } from './refusal.js';
-import { pickRetryAfterMs, pickReturnMs, sendRefusal } from './refusal.js';
+import { pickRetryAfterFailureMs, pickRetryAfterMs, sendRefusal } from './refusal.js';
 import { readRequestBody } from './requestBody.js';
-import { RequestSuspicion } from './requestSuspicion.js';
+import { RequestQuarantine } from './requestQuarantine.js';
 import { takeRetry } from './retryPermission.js';
 import { isRepeatable } from './silence.js';
 import { watchSilence } from './silenceWatch.js';
 
-/** A request that names no deadline is held at most this long beyond its route's time-out. */
+/** Deadline of a request that states none; the timeout of its route applies as well. */
 const DEFAULT_DEADLINE_MS = 30_000;
-/** A box that just started takes requests before it has read what to serve; they wait for it this long. */
-const START_WAIT_MS = 1_000;
-const LEAST_SERVER_ERROR = 500;
+/** How long a request waits for a box that has just started and has no configuration or no endpoints yet. */
+const INITIALIZATION_WAIT_MS = 1_000;
+const MIN_SERVER_ERROR_STATUS = 500;
 
-/** One request under way. */
+/** One request in progress. */
 export class Exchange implements RunningRequest {
   private readonly arrivedAtMs: number;
   private expiresAtMs = Infinity;
   private assignment: Assignment | undefined;
   private readonly attempts: AttemptSet;
-  private delivery: AnswerDelivery | undefined;
+  private delivery: ResponseDelivery | undefined;
   private winner: Attempt | undefined;
-  private heardAtMs = 0;
+  private lastActivityAtMs = 0;
   private isSettled = false;
-  /** Its body is read, but the box does not know yet what to serve. */
-  private isWaitingForStart = false;
-  private readonly suspicion: RequestSuspicion;
+  /** Its body is read, but the box has no configuration or no endpoints yet. */
+  private isWaitingForInitialization = false;
+  private readonly requestQuarantine: RequestQuarantine;
 
   constructor(
     private readonly context: RouterContext,
@@ -58,14 +58,14 @@
       readExpiry: () => this.expiresAtMs,
       onEvent: (attempt, event) => this.handleEvent(attempt, event),
     });
-    this.suspicion = new RequestSuspicion(context, {
+    this.requestQuarantine = new RequestQuarantine(context, {
       req,
       readCaller: () => this.assignment?.team?.name ?? request.apiKey ?? '',
       readBody: () => this.attempts.body,
     });
   }
 
-  /** Reads the body and goes on from there. */
+  /** Reads the body, then sends the request to an endpoint. */
   start(): void {
     const { req, res, context } = this;
     context.exchanges.add(this);
@@ -76,38 +76,38 @@
     readRequestBody(req, {
       readLimit: () => context.readIndex()?.configuration.limits.maxBodyBytes ?? Infinity,
       onTooLarge: () => this.refuse('bodyTooLarge', 0),
-      onWhole: (body) => this.handleBody(body),
+      onComplete: (body) => this.handleBody(body),
     });
   }
 
-  /** Runs once a tick: time-outs and silent endpoints. */
+  /** Runs once a tick: handles timeouts and unresponsive endpoints. */
   tick(nowMs: number): void {
     if (this.isSettled) return;
     if (nowMs >= this.expiresAtMs) return this.expire();
-    if (this.isWaitingForStart) return this.waitForStart(nowMs);
+    if (this.isWaitingForInitialization) return this.waitForInitialization(nowMs);
     for (const attempt of [...this.attempts.live]) this.checkSilence(attempt, nowMs);
   }
 
-  /** The process stood still: endpoints could not be heard meanwhile. */
-  handlePause(stalledMs: number): void {
-    this.heardAtMs += stalledMs;
-    for (const attempt of this.attempts.live) if (attempt.sentAtMs > 0) attempt.sentAtMs += stalledMs;
+  /** Shifts the timestamps by a pause of this process, during which it could not receive responses. */
+  handlePause(pausedMs: number): void {
+    this.lastActivityAtMs += pausedMs;
+    for (const attempt of this.attempts.live) if (attempt.sentAtMs > 0) attempt.sentAtMs += pausedMs;
   }
 
   private handleBody(body: Buffer | undefined): void {
     if (this.isSettled) return;
     this.attempts.body = body;
-    this.waitForStart(this.context.now());
+    this.waitForInitialization(this.context.now());
   }
 
-  /** Goes on as soon as the box knows what to serve; refuses if that takes too long. */
-  private waitForStart(nowMs: number): void {
-    const isInformed = this.context.isInitialized();
-    this.isWaitingForStart = !isInformed && nowMs - this.arrivedAtMs < START_WAIT_MS;
-    if (!this.isWaitingForStart) this.begin();
+  /** Continues as soon as the box has a configuration and endpoints; refuses the request if that takes too long. */
+  private waitForInitialization(nowMs: number): void {
+    const isInitialized = this.context.isInitialized();
+    this.isWaitingForInitialization = !isInitialized && nowMs - this.arrivedAtMs < INITIALIZATION_WAIT_MS;
+    if (!this.isWaitingForInitialization) this.matchRoute();
   }
 
-  private begin(): void {
+  private matchRoute(): void {
     const { context, req, request } = this;
     const matched = assignRequest(context, req, request);
     if (matched.err) return this.refuse(matched.val, matched.val === 'notReady' ? pickRetryAfterMs() : 0);
@@ -116,18 +116,18 @@
     this.expiresAtMs = Math.min(this.expiresAtMs, this.arrivedAtMs + assignment.route.timeoutMs);
     context.metrics.requests.inc({ service: assignment.service });
     context.budget.recordRequest(assignment.service, context.now());
-    this.place(undefined);
+    this.openAttempt(undefined);
   }
 
-  /** Sends the request to an endpoint, or gives up if there is none. */
-  private place(resumeAfter: string | undefined): void {
-    const { assignment, suspicion } = this;
+  /** Opens an attempt at an endpoint, or gives up if none can be chosen. */
+  private openAttempt(resumeAfter: string | undefined): void {
+    const { assignment, requestQuarantine } = this;
     if (assignment === undefined || this.isSettled) return;
-    const waitMs = suspicion.readWaitMs();
+    const waitMs = requestQuarantine.readRemainingMs();
     if (waitMs > 0) return this.giveUp('requestQuarantined', waitMs);
-    if (suspicion.awaitJudgement(() => this.place(resumeAfter))) return;
-    const opened = this.attempts.open(assignment, resumeAfter, suspicion.mustSpread());
-    if (opened.err) this.giveUp(opened.val.reason, pickReturnMs(opened.val));
+    if (requestQuarantine.waitForDecision(() => this.openAttempt(resumeAfter))) return;
+    const opened = this.attempts.open(assignment, resumeAfter, requestQuarantine.mustPlaceRandomly());
+    if (opened.err) this.giveUp(opened.val.reason, pickRetryAfterFailureMs(opened.val));
   }
 
   private handleEvent(attempt: Attempt, event: AttemptEvent): void {
@@ -152,7 +152,7 @@
 
   private handleSent(attempt: Attempt): void {
     const nowMs = this.context.now();
-    this.heardAtMs = nowMs;
+    this.lastActivityAtMs = nowMs;
     attempt.sentAtMs = nowMs;
     attempt.handedOverAtMs = nowMs;
     if (attempt.row.inFlight === 1) attempt.row.busySinceMs = nowMs;
@@ -162,28 +162,28 @@
     this.drop(attempt, reason);
     if (reason === 'callerLeft') return this.handleCallerClosed();
     if (reason === 'deadlinePassed') return this.expire();
-    const sign = findHealthSign(reason);
-    if (sign !== undefined) this.context.recordHealthSignal(attempt.row, sign);
+    const signal = findHealthSignal(reason);
+    if (signal !== undefined) this.context.recordHealthSignal(attempt.row, signal);
     this.attempts.unsentCount += 1;
-    logRetry(this.context, this.listFacts(), attempt.row, 'unsent', reason);
+    logRetry(this.context, this.createLogFields(), attempt.row, 'unsent', reason);
     if (this.attempts.live.length > 0) return;
-    if (this.attempts.hasTriedEnough) return this.giveUp('connectFailed');
-    this.place(this.delivery?.lastEventId);
+    if (this.attempts.hasReachedUnsentLimit) return this.giveUp('connectFailed');
+    this.openAttempt(this.delivery?.lastEventId);
   }
 
-  private handleNotRun(attempt: Attempt, head: AnswerHead): void {
+  private handleNotRun(attempt: Attempt, head: ResponseHead): void {
     this.drop(attempt, 'notRun');
     this.attempts.notRunCount += 1;
     this.context.recordHealthSignal(attempt.row, 'refused');
-    // Its word covers its own run only; another attempt may still be running.
+    // The endpoint confirms this for itself only; another attempt may still be running.
     if (this.attempts.live.length > 0) return;
     if (this.mayRetry('notRun')) return this.retry(attempt, 'notRun', `status ${head.status}`);
     const backOffMs = this.assignment === undefined ? 0 : this.attempts.readLeastBackOffMs(this.assignment);
     this.giveUp('endpointsBusy', backOffMs + pickRetryAfterMs());
   }
 
-  private handleHead(attempt: Attempt, head: AnswerHead): void {
-    if (head.status >= LEAST_SERVER_ERROR) {
+  private handleHead(attempt: Attempt, head: ResponseHead): void {
+    if (head.status >= MIN_SERVER_ERROR_STATUS) {
       this.context.recordHealthSignal(attempt.row, 'errored');
       if (this.discardError(attempt, head)) return;
     } else {
@@ -191,17 +191,20 @@
     }
     for (const other of [...this.attempts.live]) if (other !== attempt) this.abandon(other, 'lost the race');
     this.winner = attempt;
-    this.heardAtMs = this.context.now();
+    this.lastActivityAtMs = this.context.now();
     if (this.delivery === undefined) this.startDelivery(head);
     else if (head.status !== this.delivery.status) {
-      // The caller has the head of another answer already: this one cannot continue it.
+      // The caller already has the head of another response, which this one cannot continue.
       this.abandon(attempt, 'resume refused');
       this.handleBroken(attempt, 'resumeRefused', `status ${head.status}`);
     }
   }
 
-  /** An error of a request that may repeat is dropped for another attempt; false if it has to be passed on. */
-  private discardError(attempt: Attempt, head: AnswerHead): boolean {
+  /**
+   * Discards an error response if the request may be repeated and another attempt is open or allowed; returns false if
+   * the error has to be passed on.
+   */
+  private discardError(attempt: Attempt, head: ResponseHead): boolean {
     const { assignment } = this;
     if (assignment === undefined || this.delivery !== undefined || !isRepeatable(assignment.route))
       return false;
@@ -213,7 +216,7 @@
     return true;
   }
 
-  private startDelivery(head: AnswerHead): void {
+  private startDelivery(head: ResponseHead): void {
     const { assignment, context, res } = this;
     if (assignment === undefined) return;
     if (context.isStopping()) res.shouldKeepAlive = false;
@@ -225,7 +228,7 @@
   private handleData(attempt: Attempt, chunk: Buffer): void {
     if (attempt !== this.winner || this.delivery === undefined) return;
     const nowMs = this.context.now();
-    this.heardAtMs = nowMs;
+    this.lastActivityAtMs = nowMs;
     attempt.row.lastResponseAtMs = nowMs;
     if (!this.delivery.push(chunk)) attempt.pause();
   }
@@ -235,27 +238,30 @@
     const { delivery } = this;
     if (delivery === undefined) return;
     attempt.row.lastResponseAtMs = this.context.now();
-    if (!delivery.isWhole()) return this.handleBroken(attempt, 'connectionLost', 'ended inside an event');
-    this.suspicion.noteAnswered(delivery.status);
+    if (!delivery.isComplete()) return this.handleBroken(attempt, 'connectionLost', 'ended inside an event');
+    this.requestQuarantine.recordResponse(delivery.status);
     delivery.finish();
     this.settle('answered');
   }
 
   private handleBroken(attempt: Attempt, reason: BreakReason | 'resumeRefused', detail: string): void {
     this.drop(attempt, 'broken');
-    const { context, suspicion } = this;
+    const { context, requestQuarantine } = this;
     context.recordHealthSignal(attempt.row, 'broke');
-    logBreak(context, { ...this.listFacts(), content: suspicion.content }, attempt, { reason, detail });
-    const goOn = (): void => this.goOnElsewhere(attempt, 'broken', `${reason}: ${detail}`);
-    if (reason !== 'connectionLost') return goOn();
-    const { mustWait, checked } = suspicion.noteBroken(attempt);
-    // What fails in any case is answered at once.
-    if (mustWait && this.attempts.mayRepeat(this.assignment)) void checked.then(goOn);
-    else goOn();
+    logBreak(context, { ...this.createLogFields(), content: requestQuarantine.fingerprint }, attempt, {
+      reason,
+      detail,
+    });
+    const retryOrFail = (): void => this.retryOrFail(attempt, 'broken', `${reason}: ${detail}`);
+    if (reason !== 'connectionLost') return retryOrFail();
+    const { mustWait, checked } = requestQuarantine.handleBroken(attempt);
+    // A request that cannot be repeated fails whatever the check finds, so it fails without waiting.
+    if (mustWait && this.attempts.mayRepeat(this.assignment)) void checked.then(retryOrFail);
+    else retryOrFail();
   }
 
-  /** After an attempt that may have run: sends again what may repeat, or ends the request as failed. */
-  private goOnElsewhere(attempt: Attempt, reason: 'broken' | 'silent', detail: string): void {
+  /** After an attempt that may have run: retries the request or resumes its stream if allowed, otherwise fails it. */
+  private retryOrFail(attempt: Attempt, reason: 'broken' | 'silent', detail: string): void {
     if (this.isSettled || this.attempts.live.length > 0) return;
     const { assignment, delivery } = this;
     if (assignment === undefined) return;
@@ -271,21 +277,21 @@
   }
 
   private checkSilence(attempt: Attempt, nowMs: number): void {
-    const { assignment, context, winner, heardAtMs } = this;
+    const { assignment, context, winner, lastActivityAtMs } = this;
     if (assignment === undefined || attempt.sentAtMs === 0) return;
-    const answeredAtMs = attempt === winner ? heardAtMs : undefined;
+    const answeredAtMs = attempt === winner ? lastActivityAtMs : undefined;
     const hasOthers = this.attempts.live.length > 1;
-    const { action: verdict, silentMs } = watchSilence(context, attempt, {
+    const { action, silentMs } = watchSilence(context, attempt, {
       route: assignment.route,
       answeredAtMs,
       hasOthers,
       nowMs,
     });
-    switch (verdict) {
+    switch (action) {
       case 'wait':
         return;
       case 'leave':
-        return this.leaveSilent(attempt, silentMs);
+        return this.leaveSilentEndpoint(attempt, silentMs);
       case 'hedge':
         return this.hedge(attempt, silentMs);
     }
@@ -297,27 +303,27 @@
     this.retry(attempt, 'hedge', `silent for ${Math.round(silentMs)} ms`);
   }
 
-  /** Moves a stream off a silent endpoint, if it can go on elsewhere; otherwise goes on waiting. */
-  private leaveSilent(attempt: Attempt, silentMs: number): void {
+  /** Moves a stream off a silent endpoint if it can continue at another one; otherwise keeps waiting. */
+  private leaveSilentEndpoint(attempt: Attempt, silentMs: number): void {
     const { delivery, assignment } = this;
     if (delivery?.hasStarted === true && !delivery.canResume) return;
     if (assignment === undefined || !this.attempts.mayOpenAnother(assignment.route)) return;
     this.abandon(attempt, 'silent');
     this.context.recordHealthSignal(attempt.row, 'silent');
-    this.goOnElsewhere(attempt, 'silent', `silent for ${Math.round(silentMs)} ms`);
+    this.retryOrFail(attempt, 'silent', `silent for ${Math.round(silentMs)} ms`);
   }
 
-  /** Whether another attempt is allowed; takes it from the budget. */
+  /** Whether another attempt is allowed; if so, it is taken from the retry budget. */
   private mayRetry(reason: RetryReason): boolean {
-    const { assignment, attempts, suspicion } = this;
-    const listFacts = (): ExchangeFacts => this.listFacts();
-    return takeRetry(this.context, { assignment, attempts, suspicion, listFacts }, reason);
+    const { assignment, attempts, requestQuarantine } = this;
+    const createLogFields = (): ExchangeLogFields => this.createLogFields();
+    return takeRetry(this.context, { assignment, attempts, requestQuarantine, createLogFields }, reason);
   }
 
   private retry(attempt: Attempt, reason: RetryReason, detail: string, resumeAfter?: string): void {
     this.context.metrics.retries.inc({ reason });
-    logRetry(this.context, this.listFacts(), attempt.row, reason, detail);
-    this.place(resumeAfter);
+    logRetry(this.context, this.createLogFields(), attempt.row, reason, detail);
+    this.openAttempt(resumeAfter);
   }
 
   private expire(): void {
@@ -335,14 +341,17 @@
     );
   }
 
-  /** Ends a request that no endpoint takes. */
+  /** Ends a request for which there is no endpoint or no further attempt. */
   private giveUp(code: ResultCode, retryAfterMs = pickRetryAfterMs()): void {
     if (this.attempts.live.length > 0) return;
     if (this.attempts.mayHaveRun) return this.fail(code);
     this.refuse(code === 'connectFailed' ? 'noEndpoint' : code, retryAfterMs);
   }
 
-  /** Ends a request that may have run: as failed, or as visibly cut off if its answer has begun. */
+  /**
+   * Ends a request that may have run: with an error, or, if its response has started, by closing the connection, so
+   * that the caller sees that the response is incomplete.
+   */
   private fail(detail: string, code: ResultCode = 'endpointBroke'): void {
     if (this.isSettled) return;
     const hasStarted = this.delivery?.hasStarted === true;
@@ -351,7 +360,7 @@
     else this.respond({ code, ran: 'unknown', retryAfterMs: 0 }, false);
   }
 
-  /** Ends a request that did not run and never will. */
+  /** Ends a request that did not run and will not run. */
   private refuse(code: ResultCode, retryAfterMs: number): void {
     if (this.isSettled) return;
     this.settle(code);
@@ -373,19 +382,19 @@
     const { context } = this;
     this.abandonAll(outcome);
     context.exchanges.delete(this);
-    logOutcome(context, this.listFacts(), outcome, detail);
+    logOutcome(context, this.createLogFields(), outcome, detail);
   }
 
-  private listFacts(): ExchangeFacts {
+  private createLogFields(): ExchangeLogFields {
     const { assignment } = this;
     return {
       requestId: this.request.requestId,
-      content: this.suspicion.knownContent,
+      content: this.requestQuarantine.knownFingerprint,
       route: assignment?.route.name,
       service: assignment?.service,
       team: assignment?.team?.name,
       endpoint: this.winner?.row.listing.id ?? this.attempts.lastTriedId,
-      ...this.attempts.listFacts(),
+      ...this.attempts.createLogFields(),
       ageMs: Math.round(this.context.now() - this.arrivedAtMs),
     };
   }
--- a/packages/router/src/proxy/exchangeLog.ts
+++ b/packages/router/src/proxy/exchangeLog.ts
@@ -1,4 +1,4 @@
-/** The lines that explain a request afterwards: why it was sent again, and how it ended. */
+/** Writes the log lines of a request: why it was sent again, and how it ended. */
 import type { ResultCode } from '@hazelwalk/core';
 import type { RouterContext } from '../routerContext.js';
 import type { PlacementChoice, PlacementWay } from '../systems/placement.js';
@@ -8,48 +8,49 @@
 /** Why a request is sent again. */
 export type RetryReason = 'unsent' | 'notRun' | 'serverError' | 'broken' | 'silent' | 'hedge' | 'resume';
 
-/** What is known of the attempts of a request. */
-export interface AttemptFacts {
+/** Log fields of the attempts of a request. */
+export interface AttemptLogFields {
   readonly sent: number;
   readonly unsent: number;
-  /** How its last endpoint was chosen, and what this box believed of loads then. */
+  /** How the last endpoint was chosen. */
   readonly way?: PlacementWay;
+  /** Load of that endpoint as known to this box at that time, and the mean load of its service. */
   readonly believedLoad?: number;
   readonly believedMean?: number;
 }
 
-/** What happened to a request so far. */
-export interface ExchangeFacts extends AttemptFacts {
+/** Log fields of a request. */
+export interface ExchangeLogFields extends AttemptLogFields {
   readonly requestId: string;
-  /** Names the request by its content: the same for all that ask for the same; only while endpoints crash. */
+  /** Fingerprint, equal for identical requests; undefined until an endpoint has crashed or broken off a request. */
   readonly content: string | undefined;
   readonly route: string | undefined;
   readonly service: string | undefined;
   readonly team: string | undefined;
-  /** Endpoint that it was sent to last. */
+  /** Endpoint whose response is delivered, or else the one tried last. */
   readonly endpoint: string | undefined;
   readonly ageMs: number;
 }
 
-/** What the lines of a request say of the choice of its endpoint. */
+/** Log fields that describe how the endpoint of a request was chosen. */
 export function describePlacement(
   choice: PlacementChoice | undefined,
-): Pick<AttemptFacts, 'way' | 'believedLoad' | 'believedMean'> {
+): Pick<AttemptLogFields, 'way' | 'believedLoad' | 'believedMean'> {
   if (choice === undefined) return {};
   const { way, load, meanLoad } = choice;
   return { way, believedLoad: load, believedMean: Math.round(meanLoad * 10) / 10 };
 }
 
-/** Writes that a request is sent again, and what is known of the endpoint that it leaves. */
+/** Logs that a request is sent again, with the state of the endpoint of the earlier attempt. */
 export function logRetry(
   context: RouterContext,
-  facts: ExchangeFacts,
+  fields: ExchangeLogFields,
   row: EndpointRow,
   reason: RetryReason,
   detail: string,
 ): void {
   context.log.write('notable', 'sentAgain', {
-    ...facts,
+    ...fields,
     reason,
     detail,
     endpoint: row.listing.id,
@@ -59,21 +60,24 @@
   });
 }
 
-/** How an attempt broke. */
-export interface BreakFacts {
+/** Why an attempt was broken off. */
+export interface BreakDetails {
   readonly reason: string;
   readonly detail: string;
 }
 
-/** Writes that an endpoint broke off a request: the same content in many of these lines points at the request. */
+/**
+ * Logs that an endpoint broke off a request. The same `content` in many of these lines points at the request as
+ * cause.
+ */
 export function logBreak(
   context: RouterContext,
-  facts: ExchangeFacts,
+  fields: ExchangeLogFields,
   attempt: Pick<Attempt, 'row' | 'handedOverAtMs'>,
-  broken: BreakFacts,
+  broken: BreakDetails,
 ): void {
   context.log.write('notable', 'attemptBroke', {
-    ...facts,
+    ...fields,
     ...broken,
     endpoint: attempt.row.listing.id,
     endpointInFlight: attempt.row.inFlight,
@@ -81,22 +85,22 @@
   });
 }
 
-/** Writes that a request is not sent again although it could be. */
-export function logRetryDenied(context: RouterContext, facts: ExchangeFacts, reason: RetryReason): void {
+/** Logs that a request is not sent again because the retry budget is used up. */
+export function logRetryDenied(context: RouterContext, fields: ExchangeLogFields, reason: RetryReason): void {
   context.metrics.retriesDenied.inc({ reason: 'budget' });
-  context.log.write('notable', 'retryDenied', { ...facts, reason, because: 'budget' });
+  context.log.write('notable', 'retryDenied', { ...fields, reason, because: 'budget' });
 }
 
-/** Writes how a request ended. */
+/** Logs and counts how a request ended. */
 export function logOutcome(
   context: RouterContext,
-  facts: ExchangeFacts,
+  fields: ExchangeLogFields,
   outcome: 'answered' | ResultCode,
   detail: string | undefined,
 ): void {
   context.metrics.outcomes.inc({ outcome });
   context.log.write(outcome === 'answered' ? 'routine' : 'notable', 'requestEnded', {
-    ...facts,
+    ...fields,
     outcome,
     detail,
     configurationVersion: context.readIndex()?.configuration.version,
--- a/packages/router/src/proxy/forwardHeaders.ts
+++ b/packages/router/src/proxy/forwardHeaders.ts
@@ -1,8 +1,10 @@
-/** Which headers pass between callers and endpoints: all but those that concern one connection, or that the router sets. */
+/**
+ * Selects the headers that are forwarded: all but those of a single connection and those that the router sets itself.
+ */
 import type { ResponseHeaders } from '../httpDialect.js';
 
-/** Headers of one connection (RFC 9110, section 7.6.1), and those that the HTTP libraries write themselves. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+/** Headers of a single connection (RFC 9110, section 7.6.1), and headers that the HTTP libraries write themselves. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -16,7 +18,10 @@
   'expect',
 ]);
 
-function listNamed(connectionHeader: string | string[] | undefined): ReadonlySet<string> | undefined {
+/** Names of the headers that a `Connection` header lists as belonging to its connection only. */
+function parseConnectionHeader(
+  connectionHeader: string | string[] | undefined,
+): ReadonlySet<string> | undefined {
   if (connectionHeader === undefined) return undefined;
   const names = String(connectionHeader)
     .split(',')
@@ -25,17 +30,18 @@
 }
 
 /**
- * Keeps the caller's headers that an endpoint gets. Both lists hold name and value in turn.
+ * Selects the headers of a caller's request that are forwarded to an endpoint. Both lists hold names and values in
+ * turn.
  *
- * @example keepForwarded(['Host', 'a.example', 'TE', 'gzip'], new Set()) // ['Host', 'a.example']
+ * @example selectRequestHeaders(['Host', 'a.example', 'TE', 'gzip'], new Set()) // ['Host', 'a.example']
  */
-export function keepForwarded(rawHeaders: readonly string[], reserved: ReadonlySet<string>): string[] {
+export function selectRequestHeaders(rawHeaders: readonly string[], reserved: ReadonlySet<string>): string[] {
   const kept: string[] = [];
-  const named = listNamed(findHeader(rawHeaders, 'connection'));
+  const named = parseConnectionHeader(findHeader(rawHeaders, 'connection'));
   for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
     const [name, value] = [rawHeaders[at] ?? '', rawHeaders[at + 1] ?? ''];
     const lower = name.toLowerCase();
-    if (CONNECTION_HEADERS.has(lower) || reserved.has(lower) || named?.has(lower) === true) continue;
+    if (HOP_BY_HOP_HEADERS.has(lower) || reserved.has(lower) || named?.has(lower) === true) continue;
     kept.push(name, value);
   }
   return kept;
@@ -49,18 +55,18 @@
   return values.length === 0 ? undefined : values.join(',');
 }
 
-/** Keeps the headers of an endpoint's answer that the caller gets. */
-export function keepAnswered(headers: ResponseHeaders): Record<string, string | string[]> {
-  const named = listNamed(headers['connection']);
+/** Selects the headers of an endpoint's response that are forwarded to the caller. */
+export function selectResponseHeaders(headers: ResponseHeaders): Record<string, string | string[]> {
+  const named = parseConnectionHeader(headers['connection']);
   const kept: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || CONNECTION_HEADERS.has(name) || named?.has(name) === true) continue;
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(name) || named?.has(name) === true) continue;
     kept[name] = value;
   }
   return kept;
 }
 
-/** Whether an answer has no length, so that only the end of its connection ends it. */
+/** Whether a response has no length and ends only with its connection. */
 export function isCloseDelimited(headers: ResponseHeaders): boolean {
   return headers['transfer-encoding'] === undefined && headers['content-length'] === undefined;
 }
--- a/packages/router/src/proxy/refusal.ts
+++ b/packages/router/src/proxy/refusal.ts
@@ -1,40 +1,43 @@
-/** Refusals and failures as callers get them: a numbered problem, and when to come back where that helps. */
+/** Writes the router's own error responses: a problem body with a result code and, where it helps, a retry time. */
 import type { ServerResponse } from 'node:http';
 import { createProblemBody, PROBLEM_CONTENT_TYPE } from '@hazelwalk/core';
 import type { Ran, ResultCode } from '@hazelwalk/core';
 import type { HttpDialect } from '../httpDialect.js';
 import type { PlacementFailure } from '../systems/placement.js';
 
-/** A request's final answer where no endpoint gave one. */
+/** The router's response to a request without a usable response from an endpoint. */
 export interface RouterRefusal {
   readonly code: ResultCode;
   readonly ran: Ran;
-  /** When to come back; 0 where coming back does not help. */
+  /** Time after which the caller should retry; 0 if a retry does not help. */
   readonly retryAfterMs: number;
 }
 
-/** Soon enough for an answer on time, and spread so that callers don't return together. */
+/** Short enough for a response within the target latency; the jitter keeps callers from retrying all at once. */
 const RETRY_AFTER_MS = 60;
-const RETRY_AFTER_SPREAD_MS = 60;
+const RETRY_AFTER_JITTER_MS = 60;
 
-/** When a caller should come back after a request that did not run. */
+/** Picks the time after which a caller should retry a request that did not run. */
 export function pickRetryAfterMs(): number {
-  return RETRY_AFTER_MS + Math.random() * RETRY_AFTER_SPREAD_MS;
+  return RETRY_AFTER_MS + Math.random() * RETRY_AFTER_JITTER_MS;
 }
 
-/** Where nothing will change soon a caller that returns at once is refused once more; it may well have time to wait. */
-const LATER_MS = 1_000;
-const LATER_SPREAD_MS = 1_000;
+/**
+ * Retry time while all halls are evacuated: an earlier retry would only be refused again, and the caller may have time
+ * to wait.
+ */
+const EVACUATED_RETRY_AFTER_MS = 1_000;
+const EVACUATED_RETRY_AFTER_JITTER_MS = 1_000;
 
 /**
- * When a caller should come back whose request found no endpoint.
+ * Picks the time after which a caller should retry a request for which no endpoint could be chosen.
  *
- * @example pickReturnMs({ reason: 'hallsEvacuated', waitMs: 0 }) // 1_000 to 2_000
+ * @example pickRetryAfterFailureMs({ reason: 'hallsEvacuated', waitMs: 0 }) // 1_000 to 2_000
  */
-export function pickReturnMs({ reason, waitMs }: PlacementFailure): number {
+export function pickRetryAfterFailureMs({ reason, waitMs }: PlacementFailure): number {
   switch (reason) {
     case 'hallsEvacuated':
-      return LATER_MS + Math.random() * LATER_SPREAD_MS;
+      return EVACUATED_RETRY_AFTER_MS + Math.random() * EVACUATED_RETRY_AFTER_JITTER_MS;
     case 'endpointsBackingOff':
       return waitMs + pickRetryAfterMs();
     case 'noEndpoint':
@@ -43,7 +46,11 @@
   }
 }
 
-/** Writes a refusal. The connection is closed after it if the body of the request was not read to its end. */
+/**
+ * Writes an error response.
+ *
+ * @param closes closes the connection afterwards, as is necessary if the body of the request was not read to its end
+ */
 export function sendRefusal(
   res: ServerResponse,
   dialect: HttpDialect,
--- a/packages/router/src/proxy/requestBody.ts
+++ b/packages/router/src/proxy/requestBody.ts
@@ -1,16 +1,16 @@
-/** Collects the body of a request, so that it can be sent again. */
+/** Buffers the body of a request, so that the request can be sent again. */
 import type { IncomingMessage } from 'node:http';
 
-/** What becomes of a body. */
+/** Size limit and callbacks for reading a body. */
 export interface RequestBodyHandlers {
-  /** Largest body that is accepted, in bytes; asked with each chunk, since the configuration may change meanwhile. */
+  /** Largest accepted body in bytes; called for each chunk, because the configuration may change in between. */
   readonly readLimit: () => number;
   readonly onTooLarge: () => void;
-  /** The whole body; undefined if there is none. */
-  readonly onWhole: (body: Buffer | undefined) => void;
+  /** Called with the whole body; undefined if there is none. */
+  readonly onComplete: (body: Buffer | undefined) => void;
 }
 
-/** Reads a request to its end. */
+/** Reads a request to its end, also after its body has become too large. */
 export function readRequestBody(req: IncomingMessage, handlers: RequestBodyHandlers): void {
   const chunks: Buffer[] = [];
   let bytes = 0;
@@ -23,6 +23,6 @@
     else chunks.push(chunk);
   });
   req.on('end', () => {
-    if (!isTooLarge) handlers.onWhole(chunks.length === 0 ? undefined : Buffer.concat(chunks));
+    if (!isTooLarge) handlers.onComplete(chunks.length === 0 ? undefined : Buffer.concat(chunks));
   });
 }
--- a/packages/router/src/proxy/answerDelivery.ts
+++ b/packages/router/src/proxy/responseDelivery.ts
@@ -1,76 +1,76 @@
 /**
- * Hands an answer to the caller. A plain answer is held until it is whole, so that a broken one can be replaced; a
- * stream is passed on event by event as it arrives.
+ * Delivers a response to the caller. A plain response is buffered until it is complete, so that a broken one can be
+ * replaced; a stream is delivered event by event.
  */
 import type { ServerResponse } from 'node:http';
-import type { AnswerHead } from './attempt.js';
+import type { ResponseHead } from './attempt.js';
 import { EventSplitter } from './eventSplitter.js';
-import { isCloseDelimited, keepAnswered } from './forwardHeaders.js';
+import { isCloseDelimited, selectResponseHeaders } from './forwardHeaders.js';
 
-/** A plain answer longer than this is passed on before it is whole. */
-const MAX_HELD_BYTES = 262_144;
+/** A plain response longer than this is delivered before it is complete. */
+const MAX_BUFFERED_BYTES = 262_144;
 
-/** An answer on its way to the caller. */
-export interface AnswerDelivery {
+/** A response that is being delivered to the caller. */
+export interface ResponseDelivery {
   readonly status: number;
-  /** Whether the caller has seen any of it. */
+  /** Whether anything was sent to the caller. */
   readonly hasStarted: boolean;
-  /** Whether it can go on with the events of another endpoint. */
+  /** Whether it can continue with the events of another endpoint. */
   readonly canResume: boolean;
   readonly lastEventId: string | undefined;
-  /** Takes bytes of the answer; false if the caller reads more slowly than they come. */
+  /** Adds bytes of the response; returns false if the caller reads more slowly than they arrive. */
   push(chunk: Buffer): boolean;
-  /** Whether it may end here. */
-  isWhole(): boolean;
-  /** Drops what cannot be continued before another endpoint goes on. */
+  /** Whether the response may end here. */
+  isComplete(): boolean;
+  /** Drops an incomplete event before another endpoint continues the stream. */
   prepareResume(): void;
-  /** Ends it as whole. */
+  /** Sends what is left and ends the response. */
   finish(): void;
 }
 
-/** Chooses how an answer is handed over. */
+/** Creates the delivery that fits the route and the content type of a response. */
 export function createDelivery(
   res: ServerResponse,
-  head: AnswerHead,
+  head: ResponseHead,
   isStream: boolean,
   isResumable: boolean,
-): AnswerDelivery {
+): ResponseDelivery {
   const contentType = String(head.headers['content-type'] ?? '');
   if (isStream && contentType.startsWith('text/event-stream'))
     return new StreamDelivery(res, head, isResumable);
-  return new HeldDelivery(res, head);
+  return new BufferedDelivery(res, head);
 }
 
-function writeHead(res: ServerResponse, head: AnswerHead): void {
-  res.writeHead(head.status, keepAnswered(head.headers));
+function writeHead(res: ServerResponse, head: ResponseHead): void {
+  res.writeHead(head.status, selectResponseHeaders(head.headers));
 }
 
-class HeldDelivery implements AnswerDelivery {
+class BufferedDelivery implements ResponseDelivery {
   readonly status: number;
   readonly canResume = false;
   readonly lastEventId = undefined;
   hasStarted = false;
-  private readonly held: Buffer[] = [];
-  private heldBytes = 0;
+  private readonly bufferedChunks: Buffer[] = [];
+  private bufferedBytes = 0;
 
   constructor(
     private readonly res: ServerResponse,
-    private readonly head: AnswerHead,
+    private readonly head: ResponseHead,
   ) {
     this.status = head.status;
   }
 
   push(chunk: Buffer): boolean {
     if (this.hasStarted) return this.res.write(chunk);
-    this.held.push(chunk);
-    this.heldBytes += chunk.length;
-    if (this.heldBytes <= MAX_HELD_BYTES) return true;
+    this.bufferedChunks.push(chunk);
+    this.bufferedBytes += chunk.length;
+    if (this.bufferedBytes <= MAX_BUFFERED_BYTES) return true;
     this.hasStarted = true;
     writeHead(this.res, this.head);
-    return this.res.write(Buffer.concat(this.held));
+    return this.res.write(Buffer.concat(this.bufferedChunks));
   }
 
-  isWhole(): boolean {
+  isComplete(): boolean {
     return true;
   }
 
@@ -79,14 +79,14 @@
   finish(): void {
     if (this.hasStarted) return void this.res.end();
     this.hasStarted = true;
-    const body = Buffer.concat(this.held);
+    const body = Buffer.concat(this.bufferedChunks);
     this.res.setHeader('content-length', body.length);
     writeHead(this.res, this.head);
     this.res.end(body);
   }
 }
 
-class StreamDelivery implements AnswerDelivery {
+class StreamDelivery implements ResponseDelivery {
   readonly status: number;
   hasStarted = false;
   lastEventId: string | undefined;
@@ -95,7 +95,7 @@
 
   constructor(
     private readonly res: ServerResponse,
-    private readonly head: AnswerHead,
+    private readonly head: ResponseHead,
     readonly canResume: boolean,
   ) {
     this.status = head.status;
@@ -106,12 +106,12 @@
     const events = this.splitter.push(chunk);
     if (events === undefined) return true;
     this.lastEventId = events.lastEventId ?? this.lastEventId;
-    this.begin();
+    this.sendHeadOnce();
     return this.res.write(events.bytes);
   }
 
-  /** Without a length, an end inside an event is the only sign that the answer was cut off. */
-  isWhole(): boolean {
+  /** If the response has no length, an end inside an event is the only evidence that it was cut off. */
+  isComplete(): boolean {
     return !this.isCloseDelimited || this.splitter.pendingBytes.length === 0;
   }
 
@@ -120,11 +120,11 @@
   }
 
   finish(): void {
-    this.begin();
+    this.sendHeadOnce();
     this.res.end(this.splitter.pendingBytes);
   }
 
-  private begin(): void {
+  private sendHeadOnce(): void {
     if (this.hasStarted) return;
     this.hasStarted = true;
     writeHead(this.res, this.head);
--- a/packages/router/src/proxy/silence.ts
+++ b/packages/router/src/proxy/silence.ts
@@ -1,29 +1,32 @@
-/** Decides what to do about an endpoint that says nothing to a request that may repeat. */
+/** Decides what to do if an endpoint does not respond to a request that may run more than once. */
 import type { Route } from '../records.js';
 
-/** A plain request without an answer is sent a second time after this share of its target latency. */
-const HEDGE_SHARE = 0.6;
-/** A resumable stream that is silent for this long goes on elsewhere: a third of what callers bear. */
-const STREAM_SILENCE_MS = 800;
-/** On an endpoint that cannot be reached, so much silence is enough. */
-const CUT_OFF_SILENCE_MS = 50;
+/** A repeatable request without a response is hedged after this share of the route's target latency. */
+const HEDGE_LATENCY_SHARE = 0.6;
+/**
+ * A resumable stream without data for this long is moved to another endpoint: a third of the gap that callers
+ * tolerate.
+ */
+const STREAM_SILENCE_TIMEOUT_MS = 800;
+/** Silence after which a request at an unreachable endpoint is hedged or moved. */
+const UNREACHABLE_SILENCE_TIMEOUT_MS = 50;
 
-/** What to do. */
-export type SilenceVerdict =
+/** Reaction to the silence of an endpoint. */
+export type SilenceAction =
   | 'wait'
-  /** Leave the endpoint and go on at another. */
+  /** Abandon the attempt and continue at another endpoint. */
   | 'leave'
-  /** Ask a second endpoint as well, and take the first answer. */
+  /** Send the request to a second endpoint as well and use the first response. */
   | 'hedge';
 
-/** What is known of the silence. */
+/** State of an attempt whose endpoint is silent. */
 export interface Silence {
   readonly route: Route;
   readonly silentMs: number;
   readonly isUnreachable: boolean;
-  /** Other attempts of the same request are under way. */
+  /** Other attempts of the same request are in progress. */
   readonly hasOthers: boolean;
-  /** Its answer has begun. */
+  /** The response has started. */
   readonly isAnswering: boolean;
 }
 
@@ -40,15 +43,16 @@
 }
 
 /**
- * Judges the silence of an endpoint.
+ * Decides how to react to the silence of an endpoint.
  *
- * @example judgeSilence({ route, silentMs: 10, isUnreachable: false, hasOthers: false, isAnswering: false }) // 'wait'
+ * @example decideOnSilence({ route, silentMs: 10, isUnreachable: false, hasOthers: false, isAnswering: false }) // 'wait'
  */
-export function decideOnSilence(silence: Silence): SilenceVerdict {
+export function decideOnSilence(silence: Silence): SilenceAction {
   const { route, silentMs } = silence;
   if (!isRepeatable(route)) return 'wait';
-  const isCutOff = silence.isUnreachable && silentMs > CUT_OFF_SILENCE_MS;
-  if (route.kind === 'stream') return isCutOff || silentMs >= STREAM_SILENCE_MS ? 'leave' : 'wait';
+  const hasTimedOutUnreachable = silence.isUnreachable && silentMs > UNREACHABLE_SILENCE_TIMEOUT_MS;
+  if (route.kind === 'stream')
+    return hasTimedOutUnreachable || silentMs >= STREAM_SILENCE_TIMEOUT_MS ? 'leave' : 'wait';
   if (silence.hasOthers || silence.isAnswering) return 'wait';
-  return isCutOff || silentMs >= HEDGE_SHARE * route.targetLatencyMs ? 'hedge' : 'wait';
+  return hasTimedOutUnreachable || silentMs >= HEDGE_LATENCY_SHARE * route.targetLatencyMs ? 'hedge' : 'wait';
 }
--- a/packages/router/src/proxy/silenceWatch.ts
+++ b/packages/router/src/proxy/silenceWatch.ts
@@ -1,53 +1,54 @@
-/** Watches one attempt for silence: what it means for its connections, and what to do about the request. */
+/** Monitors an attempt whose endpoint does not respond: retires connections and decides about hedging. */
 import type { Route } from '../records.js';
 import type { RouterContext } from '../routerContext.js';
 import type { Attempt } from './attempt.js';
-import type { SilenceVerdict } from './silence.js';
+import type { SilenceAction } from './silence.js';
 import { decideOnSilence } from './silence.js';
 
-/** A kept connection that says nothing for so long may be dead: several times what endpoints take for an answer. */
+/** A kept-alive connection without a response for this long may be dead: several times the usual response time. */
 const SILENT_CONNECTION_MS = 1_000;
 
 /**
- * A second endpoint that was not allowed is asked for again after this. Where all endpoints are late many requests wait so, and
- * each asks the budget and writes a line: at every tick that would be the work of an overloaded box.
+ * Time after which a hedge that was denied is requested again. Each request for one checks the retry budget and
+ * writes a log line. If all endpoints are slow, many requests wait for a hedge, and doing this at every tick would
+ * take up the time of an overloaded box.
  */
-const HEDGE_PAUSE_MS = 200;
+const HEDGE_RETRY_INTERVAL_MS = 200;
 
-/** What the request knows. */
+/** State of the request to which the attempt belongs. */
 export interface WatchedRequest {
   readonly route: Route;
-  /** When the last piece of its answer came; undefined before its answer has begun. */
+  /** When data of the response was last received; undefined before the response has started. */
   readonly answeredAtMs: number | undefined;
-  /** Other attempts of it are under way. */
+  /** Other attempts of the request are in progress. */
   readonly hasOthers: boolean;
   readonly nowMs: number;
 }
 
-/** Judges how long an attempt has said nothing. */
+/** Measures the silence of an attempt and decides how to react to it. */
 export function watchSilence(
   context: RouterContext,
   attempt: Attempt,
   { route, answeredAtMs, hasOthers, nowMs }: WatchedRequest,
-): { readonly action: SilenceVerdict; readonly silentMs: number } {
+): { readonly action: SilenceAction; readonly silentMs: number } {
   const isAnswering = answeredAtMs !== undefined;
   const silentMs = nowMs - (answeredAtMs ?? attempt.sentAtMs);
-  if (!isAnswering) doubtConnection(context, attempt, silentMs);
+  if (!isAnswering) retireIdleIfSilent(context, attempt, silentMs);
   const isUnreachable = attempt.row.health.type === 'unreachable';
-  const verdict = decideOnSilence({ route, silentMs, isUnreachable, hasOthers, isAnswering });
-  return { action: verdict === 'hedge' ? paceHedge(attempt, nowMs) : verdict, silentMs };
+  const action = decideOnSilence({ route, silentMs, isUnreachable, hasOthers, isAnswering });
+  return { action: action === 'hedge' ? limitHedgeRate(attempt, nowMs) : action, silentMs };
 }
 
-function paceHedge(attempt: Attempt, nowMs: number): SilenceVerdict {
-  if (nowMs - attempt.hedgeWantedAtMs < HEDGE_PAUSE_MS) return 'wait';
+function limitHedgeRate(attempt: Attempt, nowMs: number): SilenceAction {
+  if (nowMs - attempt.hedgeWantedAtMs < HEDGE_RETRY_INTERVAL_MS) return 'wait';
   attempt.hedgeWantedAtMs = nowMs;
   return 'hedge';
 }
 
-/** Open connections may go silent without a reset while new ones work: what comes next goes on a new one. */
-function doubtConnection(context: RouterContext, attempt: Attempt, silentMs: number): void {
-  if (attempt.isDoubted || silentMs < SILENT_CONNECTION_MS || !attempt.isOnKeptConnection) return;
-  attempt.isDoubted = true;
+/** Open connections can stop working without a reset while new ones work: later requests get new connections. */
+function retireIdleIfSilent(context: RouterContext, attempt: Attempt, silentMs: number): void {
+  if (attempt.hasRetiredConnections || silentMs < SILENT_CONNECTION_MS || !attempt.isOnKeptConnection) return;
+  attempt.hasRetiredConnections = true;
   context.connections.retireIdle(attempt.row.listing.id);
   context.metrics.retiredPools.inc();
 }
