--- a/packages/router/src/observability/healthLog.ts
+++ b/packages/router/src/observability/healthLog.ts
@@ -1,11 +1,11 @@
-/** Writes down what a box comes to believe of endpoints and of other boxes. */
+/** Logs and counts changes of the health of endpoints and of the state of boxes, as this box sees them. */
 import type { HealthChange } from '../systems/endpointHealth.js';
 import type { EndpointNoticeChange } from '../systems/endpointNotices.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 import type { DecisionLog } from './decisionLog.js';
 import type { RouterMetrics } from './metrics.js';
 
-/** Lines and counters of changed beliefs. */
+/** Log lines and counters of these changes. */
 export class HealthLog {
   constructor(
     private readonly log: DecisionLog,
@@ -13,15 +13,15 @@
     private readonly now: () => number,
   ) {}
 
-  /** An endpoint gets new requests no more, or again. */
-  logEndpointHealth(row: EndpointRow, change: HealthChange, because: string): void {
+  /** Logs and counts that an endpoint no longer gets new requests, or gets them again. */
+  logEndpointHealth(row: EndpointRow, change: HealthChange, reason: string): void {
     this.metrics.healthChanges.inc({ change });
     this.log.write('notable', 'endpointStanding', {
       endpoint: row.listing.id,
       service: row.listing.service,
       hall: row.listing.hall,
       change,
-      because,
+      because: reason,
       failureRate: Math.round(row.failureRate * 100) / 100,
       inFlight: row.inFlight,
       heardAgoMs: Math.round(this.now() - row.lastResponseAtMs),
@@ -42,9 +42,9 @@
     });
   }
 
-  /** A box of the own hall was found to be down, or is back. */
-  logBoxState(address: string, standing: 'down' | 'up', because: string, boxes: number): void {
-    this.metrics.peerStateChanges.inc({ standing });
-    this.log.write('notable', 'boxStanding', { address, standing, because, boxes });
+  /** Logs and counts that a box of the same hall is down or up again. */
+  logBoxState(address: string, state: 'down' | 'up', reason: string, boxes: number): void {
+    this.metrics.peerStateChanges.inc({ standing: state });
+    this.log.write('notable', 'boxStanding', { address, standing: state, because: reason, boxes });
   }
 }
--- a/packages/router/src/observability/loadViewLog.ts
+++ b/packages/router/src/observability/loadViewLog.ts
@@ -1,22 +1,22 @@
-/** Tells in metrics and logs what a box knows of the loads of the others, and how old that is. */
+/** Reports in metrics and logs how much a box knows about the loads of the other boxes, and how old that data is. */
 import type { LoadViewStatus } from '../peers/loadRelay.js';
 import type { DecisionLog } from './decisionLog.js';
 import type { RouterMetrics } from './metrics.js';
 
-/** What is written to. */
+/** Dependencies of the log. */
 export interface LoadViewLogOptions {
   readonly log: DecisionLog;
   readonly metrics: RouterMetrics;
   readonly countBoxes: () => number;
 }
 
-/** Sets the gauges each time, and writes a line when loads begin or cease to be known. */
+/** Updates the gauges on each call, and writes a log line when the extent of the known loads changes. */
 export class LoadViewLog {
   private extent: LoadViewStatus['extent'] | undefined;
 
   constructor(private readonly options: LoadViewLogOptions) {}
 
-  /** Takes note of what is known now. */
+  /** Records the current state of the known loads. */
   record({ extent, boxes, ageMs }: LoadViewStatus): void {
     const { log, metrics, countBoxes } = this.options;
     metrics.loadBoxes.set(boxes);
--- a/packages/router/src/observability/metrics.ts
+++ b/packages/router/src/observability/metrics.ts
@@ -1,6 +1,6 @@
 /**
- * Counters and histograms, served as text on the metrics address. Only the parts of the library that are used are
- * loaded: the rest (push gateways, clusters) costs a box a fifth of its start-up time.
+ * Metrics, served as text on the metrics address. Only the required parts of prom-client are loaded: the rest (push
+ * gateways, clusters) takes a fifth of the start-up time of a box.
  */
 import type { Counter as CounterType, Gauge as GaugeType } from 'prom-client';
 import Counter from 'prom-client/lib/counter.js';
@@ -11,65 +11,65 @@
 /** Buckets of latencies in milliseconds: from one network round trip to the longest deadlines. */
 const LATENCY_BUCKETS_MS = [5, 10, 25, 50, 100, 200, 300, 400, 600, 1_000, 2_000, 5_000, 10_000];
 
-/** Every measure of the router. */
+/** The metrics of the router. */
 export class RouterMetrics {
   private readonly registry = new Registry();
-  /** Requests taken from callers, by route. */
+  /** Requests accepted from callers, by service. */
   readonly requests = this.counter('requests', 'Requests taken from callers', ['service']);
-  /** Final answers, by outcome: `answered`, or the name of a result code. */
+  /** Completed requests by outcome: `answered`, or a result code. */
   readonly outcomes = this.counter('outcomes', 'Requests by outcome', ['outcome']);
-  /** Requests sent again, by reason. */
+  /** Retries by reason. */
   readonly retries = this.counter('retries', 'Requests sent again', ['reason']);
-  /** Requests that were not sent again, by reason. */
+  /** Denied retries by reason. */
   readonly retriesDenied = this.counter('retries_denied', 'Requests not sent again', ['reason']);
-  /** Attempts at endpoints, by how they ended. */
+  /** Attempts by how they ended. */
   readonly attempts = this.counter('attempts', 'Attempts at endpoints', ['end']);
-  /** Choices of an endpoint, by how it was chosen. */
+  /** Placements by how the endpoint was chosen. */
   readonly placements = this.counter('placements', 'Choices of an endpoint', ['way']);
   /** New connections to endpoints. */
   readonly connections = this.counter('endpoint_connections', 'New connections to endpoints', []);
-  /** Times that the idle connections of an endpoint were closed, since one like them said nothing. */
+  /** Times that the idle connections to an endpoint were closed because a kept-alive connection to it was silent. */
   readonly retiredPools = this.counter('retired_pools', 'Idle connections closed as doubtful', []);
-  /** Changes of belief about endpoints. */
+  /** Changes of the health of endpoints. */
   readonly healthChanges = this.counter('endpoint_standings', 'Changes of standing', ['change']);
-  /** Announcements in response headers that changed the recorded state of an endpoint, by kind. */
+  /** Announcements in response headers that changed the recorded state of an endpoint, by type. */
   readonly endpointNotices = this.counter('endpoint_notices', 'News of endpoints in their own answers', [
     'notice',
   ]);
-  /** Calls to the platform, by outcome. */
+  /** Calls to the platform by outcome. */
   readonly platformCalls = this.counter('platform_calls', 'Calls to the platform', ['outcome']);
   /** Era most recently reported by the platform; increases on each restore from a backup. */
   readonly platformEra = this.gauge('platform_era', 'Era of the platform, as its answers name it');
-  /** Heartbeats and other frames from peers. */
+  /** Heartbeats and other frames received from peers, by type. */
   readonly peerFrames = this.counter('peer_frames', 'Frames from peers', ['type']);
-  /** Boxes of the own hall found to be down, and back. */
+  /** Changes of the state of boxes of the same hall: down or up. */
   readonly peerStateChanges = this.counter('peer_standings', 'Changes of standing of boxes', ['standing']);
-  /** Changes of what is known against requests that met crashes of endpoints. */
+  /** Changes of the quarantine state of requests that were in flight during crashes. */
   readonly quarantineChanges = this.counter('quarantine_changes', 'Changes of standing of requests', [
     'change',
   ]);
-  /** Requests, by content, that are not sent to endpoints since they crash them. */
+  /** Distinct requests in quarantine: not sent to endpoints because they crash them. */
   readonly quarantined = this.gauge('quarantined_requests', 'Requests not sent since they crash endpoints');
-  /** Processor time of the process since its loop began. */
+  /** Processor time of the process since its loop started. */
   readonly processorMs = this.counter('processor_ms', 'Processor time, in milliseconds', []);
-  /** Time that the loop spent on a kind of work; garbage collection falls into whichever kind it interrupts as well. */
+  /** Time that the loop spent on each kind of work; garbage collection also counts for the kind that it interrupts. */
   readonly workMs = this.counter('work_ms', 'Time spent by kind of work, in milliseconds', ['kind']);
-  /** Log lines left out to bound their volume. */
+  /** Log lines left out to bound the volume of the log. */
   readonly suppressedLines = this.counter('log_lines_suppressed', 'Log lines left out', ['event']);
   /** Version of the configuration in force. */
   readonly configurationVersion = this.gauge(
     'configuration_version',
     'Version of the configuration in force',
   );
-  /** Endpoints whose entry vanished and that are kept, since it may only have lapsed. */
+  /** Endpoints that are kept although the platform no longer lists them, because their entries may only have lapsed. */
   readonly lapsedEndpoints = this.gauge('lapsed_endpoints', 'Endpoints kept although their entry vanished');
-  /** Halls whose endpoints get nothing new, as operators ordered. */
+  /** Halls that operators have ordered to be evacuated: their endpoints get no new requests. */
   readonly evacuatedHalls = this.gauge('evacuated_halls', 'Halls whose endpoints get nothing new');
-  /** Boxes whose loads this one knows, itself included. */
+  /** Boxes whose loads this box knows, including itself. */
   readonly loadBoxes = this.gauge('load_boxes', 'Boxes whose loads are known here');
-  /** How old the oldest of these loads are. */
+  /** Age of the oldest of these loads. */
   readonly loadAgeMs = this.gauge('load_age_ms', 'Age of the oldest loads that are known here');
-  /** Time to the first byte of an answer. */
+  /** Time from a request to the first byte of its response. */
   readonly firstByteMs = new Histogram({
     name: 'hazelwalk_first_byte_ms',
     help: 'Time from a request to the first byte of its answer',
@@ -78,7 +78,7 @@
     registers: [this.registry],
   });
 
-  /** All measures as text. */
+  /** Returns all metrics in the text format of Prometheus. */
   format(): Promise<string> {
     return this.registry.metrics();
   }
--- a/packages/router/src/observability/quarantineLog.ts
+++ b/packages/router/src/observability/quarantineLog.ts
@@ -1,48 +1,48 @@
-/** Tells operators which requests are held against crashes, and by whose report. */
+/** Logs for operators which requests are suspected of crashing endpoints, and which boxes reported the crashes. */
 import { readLastCrashMs } from '../quarantine/crashedRuns.js';
 import type { OnQuarantineChange } from '../quarantine/quarantine.js';
 import type { CrashReportDelays } from '../quarantine/quarantineRelay.js';
 import type { DecisionLog } from './decisionLog.js';
 import type { RouterMetrics } from './metrics.js';
 
-/** Crashes of which a request's first is no news: every request under way at the endpoint has it. */
-const LEAST_TOLD_CRASHES = 2;
+/** Fewer crashes are not logged: the first one concerns every request that was in flight at the endpoint. */
+const MIN_LOGGED_CRASHES = 2;
 
-/** What the log works with. */
+/** Dependencies of the log. */
 export interface QuarantineLogOptions {
   readonly log: DecisionLog;
   readonly metrics: RouterMetrics;
   readonly now: () => number;
-  /** Requests that are not sent to endpoints now. */
+  /** Returns the number of requests that are in quarantine. */
   readonly readCount: () => number;
 }
 
-/** Creates what writes the changes of a quarantine down. */
+/** Creates the handler that logs and counts the changes of a quarantine. */
 export function createQuarantineLog(options: QuarantineLogOptions): OnQuarantineChange {
   const { log, metrics, now, readCount } = options;
-  return (content, change, { runs, crashes, state: verdict }) => {
+  return (fingerprint, change, { runs, crashes, state }) => {
     metrics.quarantineChanges.inc({ change });
     metrics.quarantined.set(readCount());
-    if (crashes < LEAST_TOLD_CRASHES) return;
+    if (crashes < MIN_LOGGED_CRASHES) return;
     log.write('notable', 'quarantine', {
-      content,
+      content: fingerprint,
       change,
       crashes,
       endpointTags: runs.map((run) => run.endpointTag).join(),
       witnesses: runs.map((run) => run.reporter).join(),
       endedAgoMs: runs.map((run) => Math.round(now() - run.localEndAtMs)).join(),
       lastCrashAgoMs: Math.round(now() - readLastCrashMs(runs)),
-      waitMs: verdict.type === 'quarantined' ? Math.round(verdict.untilMs - now()) : undefined,
+      waitMs: state.type === 'quarantined' ? Math.round(state.untilMs - now()) : undefined,
     });
   };
 }
 
-/** Creates what writes down how late the news of crashes came, and where the time went. */
+/** Creates the handler that logs how late crash reports arrived, and where the time was spent. */
 export function createCrashReportLog(log: DecisionLog): (delays: CrashReportDelays) => void {
-  return ({ fingerprint: content, reporter: witness, hops, heldMs, delayMs, loopMs }) =>
+  return ({ fingerprint, reporter, hops, heldMs, delayMs, loopMs }) =>
     log.write('notable', 'crashNews', {
-      content,
-      witness,
+      content: fingerprint,
+      witness: reporter,
       hops,
       heldMs: Math.round(heldMs),
       delayMs: Math.round(delayMs),
--- a/packages/router/src/observability/workMeter.ts
+++ b/packages/router/src/observability/workMeter.ts
@@ -1,35 +1,36 @@
 /**
- * Attributes the processor time of a box to kinds of work: as counters, and as one log line for each second in which the
- * process was busy. What is not attributed is spent on requests: parsing, connections and copying, within libraries.
+ * Attributes the processor time of a box to kinds of work, in counters and in one log line for each second in which
+ * the process was busy. The time that is not attributed is spent on requests: parsing, connections and copying in
+ * libraries.
  */
 import { PerformanceObserver } from 'node:perf_hooks';
 import type { DecisionLog } from './decisionLog.js';
 import type { RouterMetrics } from './metrics.js';
 
-/** Time between two reports. */
+/** Interval of the reports. */
 const REPORT_MS = 1_000;
-/** Share of a core from which a second is logged. */
+/** Share of a core from which a second is logged as busy. */
 const BUSY_SHARE = 0.15;
 const US_PER_MS = 1_000;
 
 const WORK_KINDS = [
   /** Decoding frames from peers. */
   'frameDecoding',
-  /** Heartbeats, probes and links: sent and received. */
+  /** Sending and receiving heartbeats, probes and the frames of new links. */
   'membership',
-  /** Loads and prompts: told and received. */
+  /** Sending and receiving loads and prompts. */
   'loads',
-  /** Lists of endpoints: from the platform and from peers. */
+  /** Applying lists of endpoints from the platform and from peers. */
   'lists',
-  /** Configurations: from the platform and from peers. */
+  /** Applying configurations from the platform and from peers. */
   'configuration',
-  /** Crashes of endpoints: told, received and judged. */
+  /** Sending and receiving reports of endpoint crashes, and deciding about quarantines. */
   'crashNews',
-  /** Timeouts and silence of requests under way, and of endpoints. */
+  /** Checking requests in progress and endpoints for timeouts and silence. */
   'timeouts',
 ] as const;
 
-/** A kind of work to which processor time is attributed. */
+/** A kind of work. */
 export type WorkKind = (typeof WORK_KINDS)[number];
 
 /** Processor time of this process since its start, in milliseconds. */
@@ -38,7 +39,7 @@
   return (user + system) / US_PER_MS;
 }
 
-/** What the meter works with. */
+/** Dependencies of the meter. */
 export interface WorkMeterOptions {
   readonly log: DecisionLog;
   readonly metrics: RouterMetrics;
@@ -58,7 +59,7 @@
 
 /** Measures the work of one box. */
 export class WorkMeter {
-  /** Since the last report. */
+  /** Totals since the last report. */
   private totals = createTotals();
   private current: WorkKind | undefined;
   private switchedAtMs = 0;
@@ -75,8 +76,8 @@
   }
 
   /**
-   * Runs some work and attributes its time to a kind. Work of another kind within it counts for that kind alone; work of the
-   * same kind within it is part of it.
+   * Runs a function and attributes its time to a kind of work. A nested call for another kind counts for that kind
+   * only; a nested call for the same kind is part of the outer one.
    *
    * @example meter.measure('loads', () => relay.tick());
    */
