--- a/packages/router/src/fleetRouter.ts
+++ b/packages/router/src/fleetRouter.ts
@@ -1,5 +1,5 @@
 /**
- * A box of the fleet: tables, the systems that run over them, and the adapters around them, on one loop.
+ * A box of the fleet: the tables, the systems that work on them, and the adapters for the network, driven by one loop.
  */
 import { createHasher, SynchronousSource } from '@hazelwalk/core';
 import { Stream } from 'most';
@@ -39,10 +39,10 @@
 import { RetryBudget } from './systems/retryBudget.js';
 import { EndpointTable } from './tables/endpointTable.js';
 
-/** Pace of the systems: fine enough for time-outs of half a second, coarse enough to cost little. */
+/** Interval at which the systems run: short enough for timeouts of half a second, long enough to cost little. */
 const TICK_MS = 40;
-/** A tick that comes later than this shows that the process stood still: what waits in its sockets is read first. */
-const STALL_MS = 400;
+/** A tick later than this means that the process was paused: data that waits in its sockets has to be read first. */
+const PAUSE_THRESHOLD_MS = 400;
 
 /** A running box. */
 export class FleetRouter {
@@ -72,7 +72,7 @@
   private readonly gracefulShutdown: GracefulShutdown;
   private ticker: NodeJS.Timeout | undefined;
   private resolveStopped: () => void = () => {};
-  /** Settles when a planned stop is complete. */
+  /** Resolves when a graceful shutdown is complete. */
   readonly stopped = new Promise<void>((resolve) => {
     this.resolveStopped = resolve;
   });
@@ -96,7 +96,7 @@
       parseConfiguration: (text) => work.measure('configuration', () => options.parseConfiguration(text)),
       onLimits: (limits) => this.callers.applyLimits(limits),
       onEndpointRemoved: (id) => this.connections.forget(id),
-      onInitialized: () => this.releaseWaiting(),
+      onInitialized: () => this.resumeWaitingRequests(),
     });
     const countBoxes = (): number => this.mesh.countBoxes();
     this.connections = new EndpointConnections({
@@ -109,10 +109,10 @@
       connections: this.connections,
       now,
       isEvacuated: (hall) => this.state.evacuations.isEvacuated(hall),
-      onChange: (row, change, because) => this.healthLog.logEndpointHealth(row, change, because),
+      onChange: (row, change, reason) => this.healthLog.logEndpointHealth(row, change, reason),
     });
     const { table, healthLog } = this;
-    const checkHall = (suspected: string): void => this.reachability.checkHall(suspected);
+    const checkHall = (endpointHall: string): void => this.reachability.checkHall(endpointHall);
     this.observer = new EndpointObserver({ table, healthLog, now, checkHall });
     this.mesh = new PeerMesh(
       {
@@ -138,7 +138,7 @@
     const { mesh, state, log, metrics } = this;
     const { applyBoundMs, hall, linkMbps } = options;
     this.valueSync = new PeerValueSync({ mesh, state, log: this.log, now, applyBoundMs });
-    const loadKnowledge = new LoadViewLog({ log, metrics, countBoxes });
+    const loadViewLog = new LoadViewLog({ log, metrics, countBoxes });
     this.loadRelay = new LoadRelay({
       mesh,
       table: this.table,
@@ -148,7 +148,7 @@
       hash,
       random: Math.random,
       now,
-      onViewStatus: (knowledge) => loadKnowledge.record(knowledge),
+      onViewStatus: (status) => loadViewLog.record(status),
     });
     const readCount = (): number => this.quarantine.quarantinedCount;
     this.quarantine = new Quarantine(now, createQuarantineLog({ log, metrics, now, readCount }));
@@ -194,7 +194,7 @@
     });
   }
 
-  /** Creates a box; nothing is bound yet. */
+  /** Creates a box; `start` binds its listeners. */
   static async create(options: FleetRouterOptions): Promise<FleetRouter> {
     const hasher = await createHasher();
     return new FleetRouter(options, (text, seed) => hasher.h32(text, seed));
@@ -205,10 +205,10 @@
     const { peerAddress, callerAddress } = this.options;
     new Stream(this.inputs)
       .observe((input) => this.handle(input))
-      .catch((error: unknown) => this.failHard(error));
+      .catch((error: unknown) => this.exitAfterFailure(error));
     await this.mesh.listen(peerAddress.host, peerAddress.port);
     await this.callers.listen(callerAddress.host, callerAddress.port);
-    // Not the library's own `periodic`: it follows the time of day, which may jump.
+    // `periodic` of the stream library follows the time of day, which may jump.
     this.ticker = setInterval(() => this.inputs.push({ type: 'tick' }), TICK_MS);
     this.log.write('lifecycle', 'started', {
       hall: this.options.hall,
@@ -217,12 +217,12 @@
     });
   }
 
-  /** Adds an input; it is handled before this call returns. */
+  /** Handles an input before returning. */
   push(input: RouterInput): void {
     this.inputs.push(input);
   }
 
-  /** Whether callers should be sent here: it knows what to serve and is not stopping. */
+  /** Whether callers should be sent to this box: it has a configuration and endpoints, and is not stopping. */
   isReady(): boolean {
     return this.state.isInitialized && !this.gracefulShutdown.isInProgress;
   }
@@ -232,17 +232,17 @@
     return this.state.configurationVersion;
   }
 
-  /** Whether the platform answered last time. */
+  /** Whether the last call to the platform succeeded, as far as this box or its peers know. */
   get isPlatformConnected(): boolean {
     return this.state.isPlatformConnected;
   }
 
-  /** What this box does about the platform now: follow it, read a value, or rely on peers. */
+  /** Decides the current role of this box: watch the platform, read a value, or rely on peers. */
   decideFeedRole(): FeedRole {
     return this.feedRelay.decideRole();
   }
 
-  /** Endpoints of a service that get new requests from this box. */
+  /** Counts the endpoints of a service that get new requests from this box. */
   countUsableEndpoints(service: string): number {
     const rows = this.table.listService(service);
     return rows.filter((row) => acceptsRequests(row, this.now()) && isUsable(row, this.now())).length;
@@ -253,12 +253,12 @@
     return this.mesh.address;
   }
 
-  /** Port on which callers are served. */
+  /** Port on which callers are accepted. */
   get callerPort(): number {
     return this.callers.port;
   }
 
-  /** Closes everything at once. */
+  /** Closes everything immediately, including requests in progress. */
   close(): void {
     clearInterval(this.ticker);
     this.callers.close();
@@ -284,7 +284,7 @@
         promptHolders: this.promptHolders,
         demand: this.demand,
         evacuations: this.state.evacuations,
-        cold: this.createColdEndpoints(),
+        cold: this.createColdEndpointLimiter(),
         findRegion: (other) => options.regions[other],
         readLoadPath: () => (this.mesh.isFullMesh ? 'direct' : 'relayed'),
         readLoadAgeMs: () => this.loadRelay.readLoadAgeMs(),
@@ -302,12 +302,12 @@
       readIndex: () => this.state.index,
       isInitialized: () => this.state.isInitialized,
       isStopping: () => this.gracefulShutdown.isInProgress,
-      recordHealthSignal: (row, sign) => this.observer.record(row, sign),
-      recordAnnouncements: (row, facts) => this.observer.recordAnnouncements(row, facts),
+      recordHealthSignal: (row, signal) => this.observer.record(row, signal),
+      recordAnnouncements: (row, metadata) => this.observer.recordAnnouncements(row, metadata),
     };
   }
 
-  private createColdEndpoints(): ColdEndpointLimiter {
+  private createColdEndpointLimiter(): ColdEndpointLimiter {
     const { mesh, options, hash } = this;
     return new ColdEndpointLimiter({
       hall: options.hall,
@@ -343,7 +343,7 @@
     const nowMs = this.now();
     const sinceTickMs = nowMs - this.tickedAtMs;
     this.tickedAtMs = nowMs;
-    if (sinceTickMs > STALL_MS) return this.handleStall(sinceTickMs);
+    if (sinceTickMs > PAUSE_THRESHOLD_MS) return this.handlePause(sinceTickMs);
     const { work } = this;
     work.tick(nowMs);
     work.measure('timeouts', () => this.state.tick(nowMs));
@@ -360,18 +360,18 @@
     for (const exchange of [...this.exchanges]) exchange.tick(nowMs);
   }
 
-  /** While this process stood still nobody was silent: the silence that it saw is its own. */
-  private handleStall(stalledMs: number): void {
+  /** A pause of this process must not count as silence of its endpoints. */
+  private handlePause(pausedMs: number): void {
     this.log.write('lifecycle', 'stalled', {
-      stalledMs: Math.round(stalledMs),
+      stalledMs: Math.round(pausedMs),
       requestsInFlight: this.exchanges.size,
     });
-    for (const row of this.table.byId.values()) row.lastResponseAtMs += stalledMs;
-    for (const exchange of this.exchanges) exchange.handlePause(stalledMs);
+    for (const row of this.table.byId.values()) row.lastResponseAtMs += pausedMs;
+    for (const exchange of this.exchanges) exchange.handlePause(pausedMs);
   }
 
-  /** Requests that came before the box knew what to serve go on at once. */
-  private releaseWaiting(): void {
+  /** Continues the requests that arrived before the box had a configuration and endpoints. */
+  private resumeWaitingRequests(): void {
     const nowMs = this.now();
     for (const exchange of [...this.exchanges]) exchange.tick(nowMs);
   }
@@ -381,15 +381,18 @@
   }
 
   private handleFeedLost(reason: string): void {
-    const wasAble = this.feedRelay.feedState === 'able';
+    const wasWatcherCandidate = this.feedRelay.feedState === 'able';
     this.state.handleReadFailure(reason);
     this.feedRelay.markFeedLost();
-    // The hall needs another box that follows the platform, sooner than the next heartbeat would say so.
-    if (wasAble) this.heartbeatSender.sendToHall();
+    // The hall needs another watcher before the next heartbeat would report the loss.
+    if (wasWatcherCandidate) this.heartbeatSender.sendToHall();
   }
 
-  /** A failure of the loop leaves the tables in doubt: better no box than a wrong one. */
-  private failHard(error: unknown): void {
+  /**
+   * After a failure of the loop the tables may be inconsistent: the process exits, since no box is better than a
+   * wrong one.
+   */
+  private exitAfterFailure(error: unknown): void {
     this.log.write('lifecycle', 'loopFailed', { detail: String((error as Error).stack ?? error) });
     this.log.close();
     process.exit(1);
--- a/packages/router/src/httpDialect.ts
+++ b/packages/router/src/httpDialect.ts
@@ -1,23 +1,23 @@
 /**
- * The names that travel in HTTP heads. The router decides by facts; a dialect reads them from headers and writes them
- * into headers, so that the same router serves callers and endpoints of different conventions.
+ * Maps HTTP headers to the metadata that the router works with, and back. With one dialect for each header convention
+ * the same router serves callers and endpoints of different conventions.
  */
 import type { IncomingHttpHeaders } from 'node:http';
-import type { ResponseMetadata, CallerRequest, ForwardedMetadata } from './records.js';
+import type { CallerRequest, ForwardedMetadata, ResponseMetadata } from './records.js';
 
-/** Header names in lower case with their values; repeated headers as lists. */
+/** Values by header name in lower case; a repeated header has a list. */
 export type ResponseHeaders = Record<string, string | string[] | undefined>;
 
-/** Reads and writes the facts in HTTP heads. */
+/** Reads and writes metadata in HTTP headers. */
 export interface HttpDialect {
-  /** Reads a caller's request; undefined if a header that must be there is missing or malformed. */
+  /** Reads the headers of a caller's request; undefined if a required header is missing or malformed. */
   readRequest(headers: IncomingHttpHeaders): CallerRequest | undefined;
-  /** Headers (lower case) that a caller may not set: dropped from what is passed on. */
+  /** Headers (in lower case) that a caller may not set; they are not forwarded. */
   readonly reservedHeaders: ReadonlySet<string>;
-  /** Name and value in turn, for one endpoint. */
-  writeForwardedHeaders(facts: ForwardedMetadata): string[];
-  /** Reads the head of an endpoint's answer. */
+  /** Returns the headers for a request to one endpoint: names and values in turn. */
+  writeForwardedHeaders(metadata: ForwardedMetadata): string[];
+  /** Reads the head of an endpoint's response. */
   readResponse(status: number, headers: ResponseHeaders): ResponseMetadata;
-  /** Name and value of the header that tells a caller when to come back. */
+  /** Returns name and value of the header that states when a caller should retry. */
   writeRetryAfter(retryAfterMs: number): readonly [string, string];
 }
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -1,4 +1,4 @@
-/** The router fleet: each box takes callers' requests straight to endpoints, and boxes share what they know. */
+/** The router fleet: each box forwards callers' requests directly to endpoints, and boxes share their state. */
 export * from './fleetRouter.js';
 export * from './httpDialect.js';
 export * from './records.js';
--- a/packages/router/src/partialModules.d.ts
+++ b/packages/router/src/partialModules.d.ts
@@ -1,4 +1,4 @@
-/** The library types its whole only; the parts that are loaded alone have the types of their exports there. */
+/** The libraries have types for their entry points only; these declare the modules that are loaded on their own. */
 declare module 'undici/lib/dispatcher/client.js' {
   const client: unknown;
   export default client;
--- a/packages/router/src/records.ts
+++ b/packages/router/src/records.ts
@@ -1,18 +1,18 @@
 /**
- * What the router knows of a deployment, once decoded: routes, services, teams, endpoints, and what a caller asks.
+ * Decoded records of a deployment: routes, services, teams, endpoints, and the metadata of requests and responses.
  * Times are in milliseconds, sizes in bytes.
  */
 
-/** What may be done with a request that did not end well. */
+/** Whether a request may be sent again after a failure. */
 export type RouteKind =
   /** May run more than once. */
   | 'repeatable'
   /** Runs at most once. */
   | 'once'
-  /** Answers with a stream of events; runs at most once unless the route is resumable. */
+  /** Its response is a stream of events; runs at most once unless the route is resumable. */
   | 'stream';
 
-/** One service of a route, and its part of the route's requests. */
+/** One service of a route, and its share of the route's requests. */
 export interface RouteTarget {
   readonly service: string;
   /** Relative to the other targets of the route. */
@@ -23,52 +23,52 @@
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Longest time that the router may hold a request. */
+  /** Longest time that a request may take in the router. */
   readonly timeoutMs: number;
-  /** Time within which an answer (the first event of a stream) is on time. */
+  /** Time within which the response (of a stream, the first event) should arrive. */
   readonly targetLatencyMs: number;
-  /** Most endpoints that one request may be sent to. */
+  /** Maximum number of endpoints to which one request may be sent. */
   readonly maxAttempts: number;
   readonly targets: readonly RouteTarget[];
-  /** Needs no key. */
+  /** Needs no API key. */
   readonly isPublic: boolean;
-  /** A broken stream may go on at another endpoint after the last event seen. */
+  /** A broken stream may be resumed at another endpoint after the last event that was received. */
   readonly isResumable: boolean;
-  /** Its requests may reach endpoints of these regions alone; absent where all may serve them. */
+  /** Regions whose endpoints may serve its requests; absent if all may. */
   readonly allowedRegions?: readonly string[] | undefined;
 }
 
-/** What endpoints of a service bear until they have warmed up. */
+/** Load that endpoints of a service sustain until they have warmed up. */
 export interface ColdStart {
-  /** Requests a second that one bears while it is cold, from all boxes together. */
+  /** Requests per second that a cold endpoint sustains, from all boxes together. */
   readonly perS: number;
-  /** How long one is cold after its start. */
+  /** How long an endpoint is cold after its start. */
   readonly startMs: number;
 }
 
-/** A set of endpoints that answer the same requests. */
+/** A set of endpoints that serve the same requests. */
 export interface Service {
   readonly name: string;
-  /** Connections that one endpoint accepts from all boxes together. */
+  /** Connections that each endpoint accepts from all boxes together. */
   readonly maxConnections: number;
-  /** Whether its endpoints take cached prompts from each other. */
+  /** Whether its endpoints can fetch cached prompts from each other. */
   readonly canMoveCache: boolean;
-  /** Absent where an endpoint bears its full load from its start on. */
+  /** Absent if an endpoint sustains its full load from its start. */
   readonly coldStart?: ColdStart | undefined;
 }
 
-/** A customer with the keys it may use. */
+/** A customer with its API keys. */
 export interface Team {
   readonly name: string;
   readonly apiKeys: readonly string[];
-  /** Its requests may reach endpoints of these regions alone; absent where all may serve them. */
+  /** Regions whose endpoints may serve its requests; absent if all may. */
   readonly allowedRegions?: readonly string[] | undefined;
 }
 
-/** Bounds on what callers may send. */
+/** Limits for requests of callers. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -76,71 +76,71 @@
   readonly idleTimeoutMs: number;
 }
 
-/** The operators' whole configuration; applied as one. */
+/** The complete configuration of the operators; always applied as a whole. */
 export interface FleetConfiguration {
-  /** Only grows. */
+  /** Never decreases. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
-  /** Undefined where callers need no keys. */
+  /** Undefined if callers need no API keys. */
   readonly teams: readonly Team[] | undefined;
   readonly limits: CallerLimits;
 }
 
-/** What the platform publishes of one run of an endpoint. */
+/** Entry that the platform publishes for one run of an endpoint. */
 export interface ListedEndpoint {
-  /** Names one run: an endpoint that starts again has a new id. */
+  /** Identifies one run: an endpoint that restarts gets a new id. */
   readonly id: string;
   readonly service: string;
   readonly host: string;
   readonly port: number;
   readonly hall: string;
-  /** Requests it works on at once. */
+  /** Requests that it processes concurrently. */
   readonly slots: number;
   readonly state: 'live' | 'leaving';
-  /** How much longer it is cold, as of when it was told; undefined where it does not say. */
+  /** Remaining time for which it is cold, as of the time of the report; undefined if not reported. */
   readonly coldMs?: number | undefined;
-  /** Start time of its process in Unix milliseconds; undefined if its entry does not state one. */
+  /** Start time of its process in Unix milliseconds; undefined if not reported. */
   readonly bornMs?: number | undefined;
 }
 
-/** One part of a prompt; the same id means the same text. */
+/** One part of a prompt; equal ids mean equal texts. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What the headers of a caller's request say. */
+/** Metadata in the headers of a caller's request. */
 export interface CallerRequest {
   readonly requestId: string;
-  /** Time that the caller will wait from now on; undefined if it does not say. */
+  /** How long the caller will wait from now on; undefined if not stated. */
   readonly deadlineMs: number | undefined;
   readonly apiKey: string | undefined;
-  /** Parts in order; the last is the request's own. Empty for plain services. */
+  /** Parts in order; the last one belongs to this request only. Empty for plain services. */
   readonly promptParts: readonly PromptPart[];
 }
 
-/** What the head of an endpoint's answer says beside its status. */
+/** Metadata in the headers of an endpoint's response. */
 export interface ResponseMetadata {
   readonly requestId: string | undefined;
-  /** Whether it carries the seal of the endpoint that made it. */
+  /** Whether the response carries the seal of the endpoint that created it. */
   readonly isSealed: boolean;
-  /** The endpoint vouches that the request did not run. */
+  /** The endpoint confirms that the request did not run. */
   readonly isNotRun: boolean;
   /** Whether the endpoint announces that it is about to leave. */
   readonly isLeaving: boolean;
-  /** How long the endpoint asks this router to send no requests; undefined if it does not ask. */
+  /** Back-off that the endpoint requests from this router; undefined if it requests none. */
   readonly backOffMs: number | undefined;
 }
 
-/** What the router adds to a request for one endpoint. */
+/** Metadata that the router adds to a request for one endpoint. */
 export interface ForwardedMetadata {
   readonly deadlineMs: number;
-  /** Any other endpoint must refuse the request. */
+  /** Id of the endpoint; any other one must refuse the request. */
   readonly endpointId: string;
   readonly team: string | undefined;
-  /** The stream goes on after this event. */
+  /** Id of the event after which the stream is to be resumed. */
   readonly lastEventId: string | undefined;
-  /** Endpoint (host:port) from which to take what it holds of the prompt. */
+  /** Endpoint (host:port) from which to fetch the cached part of the prompt. */
   readonly cacheSource: string | undefined;
 }
--- a/packages/router/src/routerContext.ts
+++ b/packages/router/src/routerContext.ts
@@ -1,4 +1,4 @@
-/** What the parts of a router share. */
+/** Dependencies that the parts of the proxy share. */
 import type { HttpDialect } from './httpDialect.js';
 import type { DecisionLog } from './observability/decisionLog.js';
 import type { RouterMetrics } from './observability/metrics.js';
@@ -13,15 +13,15 @@
 import type { RouteIndex } from './systems/routeIndex.js';
 import type { EndpointRow, EndpointTable } from './tables/endpointTable.js';
 
-/** A request under way, as the loop drives it. */
+/** A request in progress, as the loop drives it. */
 export interface RunningRequest {
-  /** Runs once a tick. */
+  /** Called once a tick. */
   tick(nowMs: number): void;
-  /** The process stood still for so long. */
-  handlePause(stalledMs: number): void;
+  /** Called after the process was paused for the given time. */
+  handlePause(pausedMs: number): void;
 }
 
-/** Shared tables, systems and adapters. */
+/** Tables, systems and adapters of one box. */
 export interface RouterContext {
   readonly dialect: HttpDialect;
   readonly table: EndpointTable;
@@ -29,25 +29,25 @@
   readonly budget: RetryBudget;
   readonly connections: EndpointConnections;
   readonly crashCheck: CrashCheck;
-  /** What is known against requests that were under way at endpoints that crashed. */
+  /** Records which requests were in flight when endpoints crashed. */
   readonly quarantine: Quarantine;
-  /** Takes what this box sees of such requests, and tells the others. */
+  /** Records crashes and successes seen by this box, and reports them to the other boxes. */
   readonly quarantineRelay: QuarantineRelay;
   readonly metrics: RouterMetrics;
   readonly log: DecisionLog;
-  /** Requests under way. */
+  /** Requests in progress. */
   readonly exchanges: Set<RunningRequest>;
   /** Monotonic milliseconds. */
   readonly now: () => number;
   readonly hash: (text: string) => number;
-  /** The configuration in force; undefined before the first. */
+  /** Returns the index of the configuration in force; undefined before the first configuration. */
   readonly readIndex: () => RouteIndex | undefined;
-  /** Whether the box knows what to serve and where: a configuration and endpoints. */
+  /** Whether the box has a configuration and endpoints. */
   readonly isInitialized: () => boolean;
-  /** Whether a planned stop is under way. */
+  /** Whether a graceful shutdown is in progress. */
   readonly isStopping: () => boolean;
-  /** Notes what a request tells about an endpoint. */
-  readonly recordHealthSignal: (row: EndpointRow, sign: HealthSignal) => void;
+  /** Records a health signal of an endpoint. */
+  readonly recordHealthSignal: (row: EndpointRow, signal: HealthSignal) => void;
   /** Records what the head of a response announces about its endpoint. */
-  readonly recordAnnouncements: (row: EndpointRow, facts: ResponseMetadata) => void;
+  readonly recordAnnouncements: (row: EndpointRow, metadata: ResponseMetadata) => void;
 }
--- a/packages/router/src/routerOptions.ts
+++ b/packages/router/src/routerOptions.ts
@@ -1,4 +1,4 @@
-/** What a box is given: its set-up, and the inputs that drive its loop. */
+/** Options of a box, and the inputs of its loop. */
 import type { Problem, Result } from '@hazelwalk/core';
 import type { HttpDialect } from './httpDialect.js';
 import type { RouterFrame } from './peers/peerFrames.js';
@@ -7,34 +7,35 @@
 import type { Publication } from './systems/publishedState.js';
 import type { RetryBound } from './systems/retryBudget.js';
 
-/** What drives the loop. */
+/** An input of the loop. */
 export type RouterInput =
   | { readonly type: 'tick' }
-  /** The platform told what is new since the last time. */
+  /** The platform published changes since the last publication. */
   | { readonly type: 'published'; readonly publication: Publication }
-  /** The platform told the configuration alone. */
+  /** The platform returned the configuration only. */
   | { readonly type: 'configurationPublished'; readonly text: string }
+  /** A call to the platform failed. */
   | { readonly type: 'feedLost'; readonly reason: string }
   | { readonly type: 'peerFrame'; readonly frame: RouterFrame }
   | { readonly type: 'stopRequested' };
 
-/** How a box is set up. Times in milliseconds. */
+/** Options of a box. Times are in milliseconds. */
 export interface FleetRouterOptions {
   readonly boxId: string;
   readonly hall: string;
   /** Region of each hall. */
   readonly regions: Readonly<Record<string, string>>;
-  /** Bandwidth of the box's link. */
+  /** Bandwidth of the network link of the box. */
   readonly linkMbps: number;
   readonly callerAddress: { readonly host: string; readonly port: number };
   readonly peerAddress: { readonly host: string; readonly port: number };
   readonly seedAddresses: readonly string[];
   readonly retryBound: RetryBound;
-  /** What may reach an endpoint that has just started. */
+  /** Limits the load of an endpoint that has just started. */
   readonly coldBound: ColdBound;
-  /** A published change has to be in force after this. */
+  /** Time within which a published change has to be in force. */
   readonly applyBoundMs: number;
-  /** A stopping process is killed after this. */
+  /** Time after which a stopping process is killed. */
   readonly stopGraceMs: number;
   readonly dialect: HttpDialect;
   /** Reads a published configuration. */
