--- a/packages/cli/src/boxClient.ts
+++ b/packages/cli/src/boxClient.ts
@@ -51,7 +51,7 @@
 }
 
 /** Reads the declared file that is in force at a box; empty if there is none. */
-export function readDeclared(address: string): Promise<Result<{ text: string }, Problem>> {
+export function readDeclaredFile(address: string): Promise<Result<{ text: string }, Problem>> {
   return call(address, 'GET', '/v1/declared');
 }
 
--- a/packages/cli/src/commands/diff.ts
+++ b/packages/cli/src/commands/diff.ts
@@ -1,7 +1,7 @@
 /** `hazelwalk diff FILE`: what a declared file would change against what is in force. */
 import { parseDeclaration } from '@hazelwalk/config';
 import type { Declaration } from '@hazelwalk/core';
-import { readDeclared } from '../boxClient.js';
+import { readDeclaredFile } from '../boxClient.js';
 import { printProblems, printResult } from '../output.js';
 import { checkFile } from './check.js';
 
@@ -53,7 +53,7 @@
 export async function runDiff(file: string, box: string, json: boolean): Promise<void> {
   const proposed = checkFile(file);
   if (proposed.err) return printProblems(json, proposed.val);
-  const declared = await readDeclared(box);
+  const declared = await readDeclaredFile(box);
   if (declared.err) return printProblems(json, [declared.val]);
   const inForce = parseDeclaration(declared.val.text);
   if (inForce.err) return printProblems(json, inForce.val);
--- a/packages/core/src/__tests__/keys.test.ts
+++ b/packages/core/src/__tests__/keys.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { createEngines, createTestWorld } from '../__fixtures__/createTestWorld.js';
 import type { ControlFrame, Effect, RequestHead, World } from '../index.js';
-import { formatTicket, parseCallKey, runTurn } from '../index.js';
+import { formatTicket, parseIdempotencyKey, runTurn } from '../index.js';
 
 const settings = { keyLagMs: 100, keyLeaseMs: 100, keySkewMs: 50, clockErrorMs: 10, leaseMs: 100_000 };
 const MARGIN_MS = 100 + 100 + 50 + 20;
@@ -41,7 +41,7 @@
 
 function confirm(world: World, nowMs: number): void {
   for (const name of ['declared', 'boxes'] as const) {
-    runTurn(world, [{ type: 'platformContact', name, ok: true, askedAtMs: nowMs }], nowMs);
+    runTurn(world, [{ type: 'platformContact', name, ok: true, requestedAtMs: nowMs }], nowMs);
   }
 }
 
@@ -60,20 +60,23 @@
   expect(held).toContainEqual({ type: 'confirmValues', names: ['declared', 'boxes'] });
   return runTurn(
     world,
-    [{ type: 'platformContact', name: 'boxes', ok: false, askedAtMs: nowMs }],
+    [{ type: 'platformContact', name: 'boxes', ok: false, requestedAtMs: nowMs }],
     nowMs + 20,
   );
 }
 
 test('keys are read, and anything else is malformed', () => {
-  expect(parseCallKey(formatTicket('box-1', 'k1', 40))).toEqual({
+  expect(parseIdempotencyKey(formatTicket('box-1', 'k1', 40))).toEqual({
     type: 'ticket',
     boxId: 'box-1',
     incarnation: 'k1',
     serial: 40,
   });
-  expect(parseCallKey(createUuid(1_700_000_000_000))).toEqual({ type: 'timed', timeMs: 1_700_000_000_000 });
-  expect(parseCallKey('pickup 7')).toBeUndefined();
+  expect(parseIdempotencyKey(createUuid(1_700_000_000_000))).toEqual({
+    type: 'timed',
+    timeMs: 1_700_000_000_000,
+  });
+  expect(parseIdempotencyKey('pickup 7')).toBeUndefined();
 });
 
 test('a ticket runs once, and never in another incarnation', async () => {
@@ -112,9 +115,9 @@
   const world = await createTestWorld('box-1', { settings });
   confirm(world, 1_000);
   expect(countRuns(ask(world, createUuid(1_000, 1), 1_101))).toBe(0);
-  runTurn(world, [{ type: 'platformContact', name: 'declared', ok: true, askedAtMs: 1_101 }], 1_121);
+  runTurn(world, [{ type: 'platformContact', name: 'declared', ok: true, requestedAtMs: 1_101 }], 1_121);
   expect(countRuns(runTurn(world, [{ type: 'tick' }], 1_141))).toBe(0);
-  runTurn(world, [{ type: 'platformContact', name: 'boxes', ok: true, askedAtMs: 1_101 }], 1_142);
+  runTurn(world, [{ type: 'platformContact', name: 'boxes', ok: true, requestedAtMs: 1_101 }], 1_142);
   expect(countRuns(runTurn(world, [{ type: 'tick' }], 1_162))).toBe(1);
   ask(world, createUuid(2_100, 2), 2_200);
   expect(readRefusal(runTurn(world, [{ type: 'tick' }], 2_699))).toBe('none');
@@ -129,7 +132,7 @@
   runTurn(world, [{ type: 'callerRequest', requestId: 'short', head }], 1_101);
   const names = ['declared', 'boxes'] as const;
   const contacts = names.map(
-    (name) => ({ type: 'platformContact', name, ok: true, askedAtMs: 1_200 }) as const,
+    (name) => ({ type: 'platformContact', name, ok: true, requestedAtMs: 1_200 }) as const,
   );
   const effects = [...runTurn(world, contacts, 1_205), ...runTurn(world, [{ type: 'tick' }], 1_230)];
   expect([countRuns(effects), world.heldKeys, world.keys.size]).toEqual([0, [], 0]);
@@ -285,7 +288,7 @@
   private confirm(at: number): void {
     this.turn(at, { type: 'valueRead', name: 'boxes', text: this.boxes });
     for (const name of ['declared', 'boxes'] as const) {
-      this.turn(at, { type: 'platformContact', name, ok: true, askedAtMs: this.nowMs });
+      this.turn(at, { type: 'platformContact', name, ok: true, requestedAtMs: this.nowMs });
     }
   }
 
@@ -297,8 +300,8 @@
 
   private async boot(id: string): Promise<World> {
     const world = await createTestWorld(id, { settings, boxIds: BOX_IDS });
-    world.epochs.length = 0;
-    world.ownershipChanged = true;
+    world.keyOwnershipEpochs.length = 0;
+    world.keyOwnershipChanged = true;
     world.nowMs = this.nowMs;
     runTurn(world, [{ type: 'valueRead', name: 'boxes', text: this.boxes }], this.nowMs);
     runTurn(world, [{ type: 'tick' }], this.nowMs);
--- a/packages/core/src/__tests__/membership.test.ts
+++ b/packages/core/src/__tests__/membership.test.ts
@@ -1,6 +1,6 @@
 import { createEngines, createTestWorld } from '../__fixtures__/createTestWorld.js';
 import type { ControlFrame, Effect, HeartbeatFrame, World } from '../index.js';
-import { directoryKey, findHome, runTurn } from '../index.js';
+import { directoryKey, findHomeBox, runTurn } from '../index.js';
 
 const heartbeat: HeartbeatFrame = {
   type: 'heartbeat',
@@ -33,18 +33,18 @@
 test('a broken link ends a peer at once, and every endpoint has a steward among those left', async () => {
   const world = await createTestWorld('box-1', { boxIds: ['box-1', 'box-2'], endpoints: createEngines(8) });
   runTurn(world, [{ type: 'peerDown', boxId: 'box-2' }], 10);
-  expect([...world.endpoints.values()].map((row) => row.steward)).toEqual(Array(8).fill('box-1'));
+  expect([...world.endpoints.values()].map((row) => row.ownerId)).toEqual(Array(8).fill('box-1'));
 });
 
 test('a hall without a live box has its endpoints looked after from another', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(2, 'antigua') });
-  expect([...world.endpoints.values()].map((row) => row.steward)).toEqual(['box-1', 'box-1']);
+  expect([...world.endpoints.values()].map((row) => row.ownerId)).toEqual(['box-1', 'box-1']);
 });
 
 test('boxes that see the same lists agree on every steward', async () => {
   const options = { boxIds: ['box-1', 'box-2', 'box-3'], endpoints: createEngines(20) };
   const worlds = await Promise.all(options.boxIds.map((id) => createTestWorld(id, options)));
-  const tables = worlds.map((world) => [...world.endpoints.values()].map((row) => row.steward));
+  const tables = worlds.map((world) => [...world.endpoints.values()].map((row) => row.ownerId));
   expect(tables[1]).toEqual(tables[0]);
   expect(tables[2]).toEqual(tables[0]);
   expect(new Set(tables[0]).size).toBe(3);
@@ -53,9 +53,9 @@
 test('the directory moves to new homes when a box stops', async () => {
   const world = await createTestWorld('box-1', { boxIds: ['box-1', 'box-2'], endpoints: createEngines(8) });
   const own = Array.from({ length: 50 }, (_, index) => `chat-${index}`).filter(
-    (chat) => findHome(world, 'assistant', chat) === 'box-1',
+    (chat) => findHomeBox(world, 'assistant', chat) === 'box-1',
   );
-  for (const chat of own) world.directory.learn(directoryKey('assistant', chat), 'engine-1');
+  for (const chat of own) world.directory.recordEngine(directoryKey('assistant', chat), 'engine-1');
   const frames = listSent(runTurn(world, [{ type: 'stopRequested' }], 5), 'directory');
   const moved = frames.flatMap((frame) => (frame.type === 'directory' ? frame.entries : []));
   expect(moved.map(([key]) => key).sort()).toEqual(own.map((chat) => directoryKey('assistant', chat)).sort());
@@ -95,13 +95,13 @@
   const watchers = [];
   for (const id of boxIds) {
     const world = await createTestWorld(id, { boxIds });
-    runTurn(world, [{ type: 'platformContact', name: 'boxes', ok: true, askedAtMs: 10 }], 10);
-    if (world.watchedNames.includes('declared')) watchers.push(id);
+    runTurn(world, [{ type: 'platformContact', name: 'boxes', ok: true, requestedAtMs: 10 }], 10);
+    if (world.watchedValueNames.includes('declared')) watchers.push(id);
     for (const other of boxIds) {
       if (other !== id) receive(world, other, { ...heartbeat, platformOk: false }, 20);
     }
     runTurn(world, [{ type: 'tick' }], 30);
-    expect(world.watchedNames).toContain('declared');
+    expect(world.watchedValueNames).toContain('declared');
   }
   expect(watchers).toHaveLength(2);
 });
--- a/packages/core/src/coreSettings.ts
+++ b/packages/core/src/coreSettings.ts
@@ -15,7 +15,7 @@
   /** Attempts at one request, the first included. */
   readonly maxAttempts: number;
   /** Retries that each success earns its service. */
-  readonly retryShare: number;
+  readonly retryRatio: number;
   /** Retries a service may save up. */
   readonly retryBurst: number;
   /** Wait before the first retry; doubles, with jitter. */
@@ -25,11 +25,11 @@
   /** Endpoints named in an assignment. */
   readonly maxCandidates: number;
   /** Engines remembered for a chat. */
-  readonly warmPerChat: number;
+  readonly maxEnginesPerChat: number;
   /** Chats remembered by one box. */
   readonly maxChats: number;
   /** Directory entries sent to new home boxes at each heartbeat. */
-  readonly handoverPerBeat: number;
+  readonly handoverEntriesPerHeartbeat: number;
   /** Time over which a joining endpoint's share grows to full. */
   readonly rampMs: number;
   /** Share at which a joining endpoint starts. */
@@ -73,14 +73,14 @@
   leaseMs: 3_000,
   placeTimeoutMs: 1_000,
   maxAttempts: 3,
-  retryShare: 0.1,
+  retryRatio: 0.1,
   retryBurst: 10,
   retryBackoffMs: 25,
   maxHops: 8,
   maxCandidates: 6,
-  warmPerChat: 4,
+  maxEnginesPerChat: 4,
   maxChats: 100_000,
-  handoverPerBeat: 500,
+  handoverEntriesPerHeartbeat: 500,
   rampMs: 20_000,
   rampFloor: 0.2,
   flapHoldMs: 5_000,
--- a/packages/core/src/effects.ts
+++ b/packages/core/src/effects.ts
@@ -4,8 +4,8 @@
 import type { AttemptRef, ControlFrame, RequestHead, RequestId } from './frames.js';
 import type { BoxId, BoxRecord, EndpointId, ValueName } from './records.js';
 import type { Ran, ResultCode } from './resultCodes.js';
-import type { KeyDoubt } from './systems/keyDoubt.js';
-import type { KeyAsker } from './tables/keys.js';
+import type { KeyUncertainty } from './systems/keyUncertainty.js';
+import type { KeyRequester } from './tables/keys.js';
 
 /** A request's final refusal or failure, for the caller. */
 export interface Refusal {
@@ -23,7 +23,7 @@
   | `refusal.${ResultCode}`
   | `retry.${RetryReason}`
   | `value.${'accepted' | 'rejected' | 'older' | 'conflict'}`
-  | `keyDoubt.${KeyDoubt['type']}`
+  | `keyDoubt.${KeyUncertainty['type']}`
   | 'frame.foreign'
   | 'placement.forwarded'
   | 'placement.spilled'
@@ -44,11 +44,11 @@
   | DispatchEffect
   | (AttemptRef & { readonly type: 'cancelCall' })
   /** The steward took the request: the entry box may stream its body there. */
-  | (AttemptRef & { readonly type: 'bindRequest'; readonly steward: BoxId; readonly endpointId: EndpointId })
+  | (AttemptRef & { readonly type: 'bindRequest'; readonly ownerId: BoxId; readonly endpointId: EndpointId })
   /** Hold the answer of an owner's own request. */
   | { readonly type: 'openKeyed'; readonly requestId: RequestId }
   /** Send the answer held to an asker's entry box. */
-  | { readonly type: 'deliverKeyed'; readonly keyedRequestId: RequestId; readonly asker: KeyAsker }
+  | { readonly type: 'deliverKeyed'; readonly keyedRequestId: RequestId; readonly requester: KeyRequester }
   /** The answer need not be held any longer. */
   | { readonly type: 'forgetKeyed'; readonly keyedRequestId: RequestId }
   | { readonly type: 'refuseCaller'; readonly requestId: RequestId; readonly refusal: Refusal }
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -76,7 +76,7 @@
       readonly type: 'platformContact';
       readonly name: ValueName;
       readonly ok: boolean;
-      readonly askedAtMs: number;
+      readonly requestedAtMs: number;
     }
   | { readonly type: 'stopRequested' }
   | CallerRequestEvent
--- a/packages/core/src/callKey.ts
+++ b/packages/core/src/idempotencyKey.ts
@@ -20,7 +20,7 @@
 }
 
 /** A key that can be judged. */
-export type CallKey = TicketKey | TimedKey;
+export type IdempotencyKey = TicketKey | TimedKey;
 
 const TICKET_PATTERN = /^ticket\.([a-z0-9-]+)\.([a-z0-9]+)\.([a-z0-9]+)$/;
 const UUID_V7_PATTERN = /^([0-9a-f]{8})-([0-9a-f]{4})-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/i;
@@ -41,7 +41,7 @@
  *
  * @example parseCallKey('ticket.box-01.k3.7') // { type: 'ticket', boxId: 'box-01', incarnation: 'k3', serial: 7 }
  */
-export function parseCallKey(text: string): CallKey | undefined {
+export function parseIdempotencyKey(text: string): IdempotencyKey | undefined {
   const [, boxId, incarnation, serial] = TICKET_PATTERN.exec(text) ?? [];
   if (boxId !== undefined && incarnation !== undefined && serial !== undefined) {
     return { type: 'ticket', boxId, incarnation, serial: parseInt(serial, RADIX) };
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,5 +1,5 @@
 /** The pure core: tables, the systems that run over them, and the messages between boxes. */
-export * from './callKey.js';
+export * from './idempotencyKey.js';
 export * from './coreSettings.js';
 export * from './effects.js';
 export * from './events.js';
@@ -14,10 +14,10 @@
 export { runTurn } from './runTurn.js';
 export { isReady } from './systems/configuration.js';
 export { computeBoundCap, listUsable, readLoad, readRampShare, summariseLoad } from './systems/load.js';
-export { directoryKey, findHome } from './systems/chatDirectory.js';
+export { directoryKey, findHomeBox } from './systems/chatDirectory.js';
 export { rankCandidates } from './systems/placement.js';
-export { callKey } from './tables/calls.js';
-export type { KeyAsker } from './tables/keys.js';
+export { attemptKey } from './tables/calls.js';
+export type { KeyRequester } from './tables/keys.js';
 export { SynchronousSource } from './synchronousSource.js';
 export { createWorld } from './world.js';
 export type { CoreDependencies, SelfIdentity, ValueParsers, World } from './world.js';
--- a/packages/core/src/runTurn.ts
+++ b/packages/core/src/runTurn.ts
@@ -5,9 +5,9 @@
 import type { CoreEvent } from './events.js';
 import type { ControlFrame } from './frames.js';
 import type { BoxId } from './records.js';
-import { callKey } from './tables/calls.js';
+import { attemptKey } from './tables/calls.js';
 import { cancelCall, handleAssign, runAdmission, sweepCalls } from './systems/admission.js';
-import { adoptEntries, learnPlaced } from './systems/chatDirectory.js';
+import { handleDirectory, handlePlaced } from './systems/chatDirectory.js';
 import {
   compareStamps,
   handlePlatformContact,
@@ -33,14 +33,18 @@
   handlePeerDown,
   handlePeerUp,
   isReachable,
-  noteHeartbeat,
+  handleHeartbeat,
   runMembership,
 } from './systems/membership.js';
 import { handleKeyed, handleKeys, sweepKeys } from './systems/keys.js';
 import { handleCallEnded } from './systems/outliers.js';
-import { runOwnership } from './systems/ownership.js';
-import { runReports } from './systems/reports.js';
-import { handleEndpointReport, noteLoads, runStewardship } from './systems/stewardship.js';
+import { runKeyOwnership } from './systems/keyOwnership.js';
+import { runHeartbeats } from './systems/heartbeats.js';
+import {
+  handleEndpointReport,
+  applyReportedLoads,
+  runEndpointOwnership,
+} from './systems/endpointOwnership.js';
 import type { World } from './world.js';
 
 /** Deadlines, lost boxes and back-offs are looked after at this pace. */
@@ -49,9 +53,9 @@
 function handleFrame(world: World, from: BoxId, frame: ControlFrame): void {
   switch (frame.type) {
     case 'heartbeat':
-      noteHeartbeat(world, from, frame);
+      handleHeartbeat(world, from, frame);
       compareStamps(world, from, frame);
-      return noteLoads(world, from, frame.loads);
+      return applyReportedLoads(world, from, frame.loads);
     case 'valueRequest':
       return handleValueRequest(world, from, frame.name);
     case 'value':
@@ -61,15 +65,15 @@
     case 'assign':
       return handleAssign(world, frame);
     case 'placed':
-      return learnPlaced(world, frame);
+      return handlePlaced(world, frame);
     case 'accepted':
       return handleAccepted(world, from, frame);
     case 'refused':
       return handleRefused(world, frame);
     case 'cancel':
-      return cancelCall(world, callKey(frame));
+      return cancelCall(world, attemptKey(frame));
     case 'directory':
-      return adoptEntries(world, frame);
+      return handleDirectory(world, frame);
     case 'keyed':
       return handleKeyed(world, frame);
     case 'keys':
@@ -90,7 +94,7 @@
     case 'valueRead':
       return handleValueRead(world, event.name, event.text);
     case 'platformContact':
-      return handlePlatformContact(world, event.name, event.ok, event.askedAtMs);
+      return handlePlatformContact(world, event.name, event.ok, event.requestedAtMs);
     case 'stopRequested':
       return handleStopRequested(world);
     case 'callerRequest':
@@ -132,14 +136,14 @@
   for (const event of events) handleEvent(world, event);
   if (!isQuiet || world.topologyChanged) {
     runMembership(world);
-    runStewardship(world);
+    runEndpointOwnership(world);
     runConfiguration(world);
-    runOwnership(world);
+    runKeyOwnership(world);
   }
   runSweeps(world);
   runAdmission(world);
   runDrain(world);
-  runReports(world);
+  runHeartbeats(world);
   const { effects } = world;
   world.effects = [];
   return effects;
--- a/packages/core/src/systems/admission.ts
+++ b/packages/core/src/systems/admission.ts
@@ -6,16 +6,16 @@
 import type { BoxId, EndpointId, ServiceDeclaration } from '../records.js';
 import type { Ran, ResultCode } from '../resultCodes.js';
 import type { CallRow } from '../tables/calls.js';
-import { callKey } from '../tables/calls.js';
+import { attemptKey } from '../tables/calls.js';
 import type { EndpointRow } from '../tables/endpoints.js';
 import type { World } from '../world.js';
 import { count, emit } from '../world.js';
 import { addRunning, canStart, dequeueCall, enqueueCall, isAtTeamLimit, pickNextCall } from './fairness.js';
 import { computeBoundCap, listUsable, readLoad, summariseLoad } from './load.js';
 import { handleAccepted, handleRefused } from './entry.js';
-import { learnPlaced } from './chatDirectory.js';
+import { handlePlaced } from './chatDirectory.js';
 import { handleKeyed } from './keys.js';
-import { isInService, listOwnLoads, noteObserved } from './stewardship.js';
+import { isInService, listOwnedLoads, applyObservedLoads } from './endpointOwnership.js';
 
 /** Retry-After is spread over this multiple of its smallest value. */
 const RETRY_AFTER_SPREAD = 2;
@@ -40,9 +40,9 @@
     case 'refused':
       return handleRefused(world, frame);
     case 'placed':
-      return learnPlaced(world, frame);
+      return handlePlaced(world, frame);
     case 'cancel':
-      return cancelCall(world, callKey(frame));
+      return cancelCall(world, attemptKey(frame));
     case 'keyed':
       return handleKeyed(world, frame);
     case 'keys':
@@ -85,15 +85,15 @@
   while (candidates.length > 0) {
     const [first] = candidates;
     const row = first === undefined ? undefined : world.endpoints.get(first);
-    if (row?.steward !== undefined) return sendAssignment(world, row, { ...assign, candidates });
+    if (row?.ownerId !== undefined) return sendAssignment(world, row, { ...assign, candidates });
     candidates = candidates.slice(1);
   }
   refuseAttempt(world, assign, assign.reason, 'no');
 }
 
 function sendAssignment(world: World, row: EndpointRow, assign: AssignFrame): void {
-  const steward = row.steward ?? world.self.boxId;
-  if (steward !== world.self.boxId) row.placedSince += 1;
+  const steward = row.ownerId ?? world.self.boxId;
+  if (steward !== world.self.boxId) row.placedSinceReport += 1;
   sendToBox(world, steward, { ...assign, hops: assign.hops + 1 });
 }
 
@@ -153,8 +153,8 @@
   const [first] = assign.candidates;
   const row = first === undefined ? undefined : world.endpoints.get(first);
   if (row === undefined) return passOn(world, assign, 'noEndpoint');
-  if (row.steward !== world.self.boxId) return forwardAssignment(world, row, assign);
-  noteObserved(world, assign.observed);
+  if (row.ownerId !== world.self.boxId) return forwardAssignment(world, row, assign);
+  applyObservedLoads(world, assign.observed);
   const obstacle = findObstacle(world, row, assign);
   if (obstacle === 'overBound') return passOn(world, observe(world, row, assign), obstacle);
   if (obstacle !== undefined) return passOn(world, assign, obstacle);
@@ -170,7 +170,7 @@
 
 /** Lists disagree: another box is the steward in this box's view. */
 function forwardAssignment(world: World, row: EndpointRow, assign: AssignFrame): void {
-  if (row.steward === undefined || assign.hops >= world.settings.maxHops) {
+  if (row.ownerId === undefined || assign.hops >= world.settings.maxHops) {
     return passOn(world, assign, 'noEndpoint');
   }
   count(world, 'placement.forwarded');
@@ -197,7 +197,7 @@
     startedMs: world.nowMs,
     deadlineMs: world.nowMs + assign.head.remainingMs,
   };
-  world.calls.set(callKey(assign), call);
+  world.calls.set(attemptKey(assign), call);
   announceCall(world, row, assign);
   if (startsNow) return startCall(world, row, call);
   enqueueCall(row, call);
@@ -206,7 +206,7 @@
 
 function announceCall(world: World, row: EndpointRow, assign: AssignFrame): void {
   const { requestId, attempt, entry, home, head } = assign;
-  const loads = listOwnLoads(world);
+  const loads = listOwnedLoads(world);
   sendToBox(world, entry, { type: 'accepted', requestId, attempt, endpoint: row.id, loads });
   // The home box took its own first choice for granted.
   const isFirstChoice = assign.hops <= 1;
@@ -295,7 +295,7 @@
 function sweepWaiting(world: World, key: string, call: CallRow): void {
   const endpoint: EndpointId = call.endpointId;
   const row = world.endpoints.get(endpoint);
-  const isServed = row !== undefined && isInService(world, row) && row.steward === world.self.boxId;
+  const isServed = row !== undefined && isInService(world, row) && row.ownerId === world.self.boxId;
   const isLate = call.deadlineMs - REFUSAL_LEAD_MS <= world.nowMs;
   if (!isLate && isServed) return;
   removeCall(world, key);
--- a/packages/core/src/systems/chatDirectory.ts
+++ b/packages/core/src/systems/chatDirectory.ts
@@ -23,26 +23,26 @@
  * The box that keeps a chat's entry, in this box's view: the steward of the chat's first choice among the listed
  * engines. In the usual case the home box thus speaks to the engine itself, and one hop is saved.
  */
-export function findHome(world: World, model: ServiceName, chat: ChatId): BoxId | undefined {
+export function findHomeBox(world: World, model: ServiceName, chat: ChatId): BoxId | undefined {
   const { hasher } = world.deps;
   const engineId = pickByRendezvous(hasher, chat, world.liveEndpointIds.get(model) ?? []);
-  const steward = engineId === undefined ? undefined : world.endpoints.get(engineId)?.steward;
+  const steward = engineId === undefined ? undefined : world.endpoints.get(engineId)?.ownerId;
   return steward ?? pickByRendezvous(hasher, chat, world.live.all);
 }
 
 function findHomeOfKey(world: World, key: string): BoxId | undefined {
   const at = key.indexOf(KEY_SEPARATOR);
-  return findHome(world, key.slice(0, at), key.slice(at + 1));
+  return findHomeBox(world, key.slice(0, at), key.slice(at + 1));
 }
 
 /** Notes the engine that took a chat in place of the first choice. */
-export function learnPlaced(world: World, frame: PlacedFrame): void {
-  world.directory.learn(directoryKey(frame.service, frame.chat), frame.endpoint);
+export function handlePlaced(world: World, frame: PlacedFrame): void {
+  world.directory.recordEngine(directoryKey(frame.service, frame.chat), frame.endpoint);
 }
 
 /** Takes over entries from a box that is no longer home to them. */
-export function adoptEntries(world: World, frame: DirectoryFrame): void {
-  for (const [key, endpoints] of frame.entries) world.directory.adopt(key, endpoints);
+export function handleDirectory(world: World, frame: DirectoryFrame): void {
+  for (const [key, endpoints] of frame.entries) world.directory.addIfMissing(key, endpoints);
 }
 
 type Entry = readonly [string, readonly EndpointId[]];
@@ -67,7 +67,7 @@
   let sent = 0;
   for (const [home, entries] of collectMovedEntries(world, limit)) {
     emit(world, { type: 'send', to: home, frame: { type: 'directory', entries } });
-    for (const [key] of entries) world.directory.forget(key);
+    for (const [key] of entries) world.directory.delete(key);
     sent += entries.length;
   }
   return sent;
--- a/packages/core/src/systems/configuration.ts
+++ b/packages/core/src/systems/configuration.ts
@@ -15,7 +15,7 @@
 import type { DeclaredIndex, World } from '../world.js';
 import { count, emit } from '../world.js';
 import { applyBoxList } from './membership.js';
-import { applyEndpointList } from './stewardship.js';
+import { applyEndpointList } from './endpointOwnership.js';
 
 /** A request for a value is repeated after this long without an answer. */
 const VALUE_REQUEST_TIMEOUT_MS = 1_000;
@@ -84,7 +84,7 @@
   row.acceptedAtMs = world.nowMs;
   parsed.val.apply();
   world.watchersChanged = true;
-  world.ownershipChanged = true;
+  world.keyOwnershipChanged = true;
   count(world, 'value.accepted');
   emit(world, { type: 'log', level: 'info', message: `${name} version ${stamp[0]} is in force` });
   // Peers learn of it from the next heartbeat; that one goes out now rather than in its turn.
@@ -93,7 +93,7 @@
 
 /** A peer's word on a value: that it holds a newer one, or that the same one was confirmed since. */
 function noteStamp(world: World, name: ValueName, theirs: ValueStamp, confirmedAtMs: number): void {
-  if (isNewer(theirs, world.newestSeen[name])) world.newestSeen[name] = theirs;
+  if (isNewer(theirs, world.newestPeerStamps[name])) world.newestPeerStamps[name] = theirs;
   if (isNewer(world.values[name].stamp, theirs)) return;
   world.confirmedAtMs[name] = Math.max(world.confirmedAtMs[name], confirmedAtMs);
 }
@@ -126,9 +126,9 @@
 /** Notes whether the platform answered. */
 export function handlePlatformContact(world: World, name: ValueName, ok: boolean, askedAtMs: number): void {
   const contact = ok ? 'ok' : 'failed';
-  if (contact !== world.platformContact) world.watchersChanged = true;
-  world.platformContact = contact;
-  if (!ok) world.confirmation.hasFailed = true;
+  if (contact !== world.platformConnectivity) world.watchersChanged = true;
+  world.platformConnectivity = contact;
+  if (!ok) world.listConfirmation.hasFailed = true;
   if (!ok || world.platformIsOlder[name]) return;
   world.confirmedAtMs[name] = Math.max(world.confirmedAtMs[name], askedAtMs);
 }
@@ -141,7 +141,7 @@
 
 function isWatcher(world: World, name: ValueName): boolean {
   // A box that cannot reach the platform keeps trying, but is no longer one of the watchers that others count on.
-  if (world.platformContact === 'failed') return true;
+  if (world.platformConnectivity === 'failed') return true;
   const hallBoxes = world.live.byHall.get(world.self.hall) ?? [];
   const able = hallBoxes.filter((id) => id === world.self.boxId || world.boxes.get(id)?.platformOk === true);
   const ranked = rankByRendezvous(world.deps.hasher, name, able);
@@ -157,8 +157,8 @@
     (name) => !knowsPeers || world.values[name].text === '' || isWatcher(world, name),
   );
   const key = names.join();
-  if (key === world.watchedNames) return;
-  world.watchedNames = key;
+  if (key === world.watchedValueNames) return;
+  world.watchedValueNames = key;
   emit(world, { type: 'watchValues', names });
 }
 
--- a/packages/core/src/systems/drain.ts
+++ b/packages/core/src/systems/drain.ts
@@ -4,17 +4,17 @@
 import type { World } from '../world.js';
 import { emit } from '../world.js';
 import { handOverEntries } from './chatDirectory.js';
-import { cedeKeys } from './keys.js';
+import { handOverKeys } from './keys.js';
 import { runMembership } from './membership.js';
-import { broadcastHeartbeat } from './reports.js';
-import { runStewardship } from './stewardship.js';
+import { broadcastHeartbeat } from './heartbeats.js';
+import { runEndpointOwnership } from './endpointOwnership.js';
 
 /** Begins a planned stop: peers are told at once, so that no new work comes this way. */
 export function handleStopRequested(world: World): void {
   if (world.stop.type !== 'running') return;
   world.stop = { type: 'draining', sinceMs: world.nowMs };
   runMembership(world);
-  runStewardship(world);
+  runEndpointOwnership(world);
   broadcastHeartbeat(world);
   handOverEntries(world, Infinity);
 }
@@ -27,7 +27,7 @@
   const graceMs = world.settings.heartbeatMs;
   const peersKnow = world.nowMs - world.stop.sinceMs >= graceMs;
   if (!isOverdue && !(isIdle && peersKnow)) return;
-  cedeKeys(world);
+  handOverKeys(world);
   world.stop = { type: 'stopped' };
   emit(world, { type: 'stopped' });
 }
--- a/packages/core/src/systems/stewardship.ts
+++ b/packages/core/src/systems/endpointOwnership.ts
@@ -26,7 +26,7 @@
   row.trustedFromMs = world.nowMs + row.flaps * world.settings.flapHoldMs;
   row.rampFromMs = row.trustedFromMs;
   row.reportedLeaving = false;
-  row.foreign = 0;
+  row.foreignLoad = 0;
 }
 
 /** Takes over a newly accepted endpoint list. */
@@ -58,9 +58,9 @@
 
 /** Tells whether this box may send work towards an endpoint: in service, and its steward says so too. */
 export function isUsable(world: World, row: EndpointRow): boolean {
-  if (!isInService(world, row) || row.steward === undefined) return false;
-  if (row.steward === world.self.boxId) return true;
-  return row.knownLoad >= 0;
+  if (!isInService(world, row) || row.ownerId === undefined) return false;
+  if (row.ownerId === world.self.boxId) return true;
+  return row.ownerReportedLoad >= 0;
 }
 
 function pickSteward(world: World, row: EndpointRow): BoxId | undefined {
@@ -74,9 +74,9 @@
 
 /** Starts afresh what is known of an endpoint that this box has come to speak to or has ceased to. */
 function changeSteward(world: World, row: EndpointRow, steward: BoxId | undefined): void {
-  row.steward = steward;
-  row.knownLoad = 0;
-  row.placedSince = 0;
+  row.ownerId = steward;
+  row.ownerReportedLoad = 0;
+  row.placedSinceReport = 0;
   if (steward === world.self.boxId) row.peakInFlight = row.inFlight;
 }
 
@@ -115,18 +115,18 @@
 }
 
 /** Recomputes stewards and the index by service after a change of boxes or endpoints. */
-export function runStewardship(world: World): void {
+export function runEndpointOwnership(world: World): void {
   if (!world.topologyChanged) return;
   world.topologyChanged = false;
   forgetUnlisted(world);
   for (const row of world.endpoints.values()) {
     const steward = row.listed ? pickSteward(world, row) : undefined;
-    if (steward !== row.steward) changeSteward(world, row, steward);
+    if (steward !== row.ownerId) changeSteward(world, row, steward);
   }
   world.endpointsByService = indexByService(world);
   world.liveEndpointIds = listLiveIds(world);
-  world.handoverPending = true;
-  const own = listStewarded(world);
+  world.directoryHandoverPending = true;
+  const own = listOwnedEndpoints(world);
   emit(world, {
     type: 'watchEndpoints',
     endpoints: own.map((row) => ({ id: row.id, address: row.record.address })),
@@ -134,38 +134,38 @@
 }
 
 /** Lists the endpoints this box speaks to. */
-export function listStewarded(world: World): EndpointRow[] {
-  return [...world.endpoints.values()].filter((row) => row.steward === world.self.boxId && row.listed);
+export function listOwnedEndpoints(world: World): EndpointRow[] {
+  return [...world.endpoints.values()].filter((row) => row.ownerId === world.self.boxId && row.listed);
 }
 
 /** The loads this box vouches for, as it tells its peers. */
-export function listOwnLoads(world: World): LoadEntry[] {
+export function listOwnedLoads(world: World): LoadEntry[] {
   if (world.settings.policy.type !== 'steward') return [];
-  return listStewarded(world).map((row) => {
-    const load = row.inFlight + row.waiting + row.foreign;
+  return listOwnedEndpoints(world).map((row) => {
+    const load = row.inFlight + row.waiting + row.foreignLoad;
     return [row.id, isInService(world, row) ? load : TAKES_NO_WORK] as const;
   });
 }
 
 function noteLoad(row: EndpointRow, load: number): void {
-  row.knownLoad = load;
-  row.placedSince = 0;
+  row.ownerReportedLoad = load;
+  row.placedSinceReport = 0;
 }
 
 /** Takes over the loads a steward vouches for. A box that this box does not hold for the steward is not believed. */
-export function noteLoads(world: World, from: BoxId, loads: readonly LoadEntry[]): void {
+export function applyReportedLoads(world: World, from: BoxId, loads: readonly LoadEntry[]): void {
   for (const [endpointId, load] of loads) {
     const row = world.endpoints.get(endpointId);
-    if (row === undefined || row.steward !== from) continue;
+    if (row === undefined || row.ownerId !== from) continue;
     noteLoad(row, load);
   }
 }
 
 /** Takes over loads that travelled with an assignment; they are fresher than any heartbeat. */
-export function noteObserved(world: World, loads: readonly LoadEntry[]): void {
+export function applyObservedLoads(world: World, loads: readonly LoadEntry[]): void {
   for (const [endpointId, load] of loads) {
     const row = world.endpoints.get(endpointId);
-    if (row === undefined || row.steward === world.self.boxId) continue;
+    if (row === undefined || row.ownerId === world.self.boxId) continue;
     noteLoad(row, load);
   }
 }
@@ -178,9 +178,9 @@
   const row = world.endpoints.get(report.endpointId);
   if (row === undefined) return;
   row.reportedLeaving = report.leaving;
-  row.reported = report.inFlight;
+  row.reportedInFlight = report.inFlight;
   row.inFlightAtReport = row.inFlight;
   // The report is late: what it shows beyond the most this box had there lately must be another's.
-  row.foreign = Math.max(0, report.inFlight - row.peakInFlight);
+  row.foreignLoad = Math.max(0, report.inFlight - row.peakInFlight);
   row.peakInFlight = row.inFlight;
 }
--- a/packages/core/src/systems/entry.ts
+++ b/packages/core/src/systems/entry.ts
@@ -16,15 +16,15 @@
 import type { World } from '../world.js';
 import { count, emit } from '../world.js';
 import { refuseAttempt, routeAssignment, sendToBox, spreadRetryAfter } from './admission.js';
-import { parseCallKey } from '../callKey.js';
-import { directoryKey, findHome } from './chatDirectory.js';
+import { parseIdempotencyKey } from '../idempotencyKey.js';
+import { directoryKey, findHomeBox } from './chatDirectory.js';
 import { isReady } from './configuration.js';
-import { noteDoubt } from './keyDoubt.js';
-import { findJudge, settleAnswered, settleRefused } from './keys.js';
+import { reportUncertainty } from './keyUncertainty.js';
+import { findDecidingBox, completeKeyedCall, failKeyedCall } from './keys.js';
 import { isReachable } from './membership.js';
 import { buildAssignment } from './placement.js';
-import { earnRetry, tryAgain } from './retry.js';
-import { noteLoads } from './stewardship.js';
+import { replenishRetryBudget, scheduleRetry } from './retry.js';
+import { applyReportedLoads } from './endpointOwnership.js';
 
 /** What the owner of a key says is final: asking again changes nothing. */
 const KEY_VERDICTS: ReadonlySet<ResultCode> = new Set([
@@ -45,7 +45,7 @@
   const row = world.requests.get(requestId);
   world.requests.delete(requestId);
   count(world, `refusal.${code}`);
-  if (row?.isOwned === true) settleRefused(world, row, code, ran);
+  if (row?.isKeyOwner === true) failKeyedCall(world, row, code, ran);
   emit(world, { type: 'refuseCaller', requestId, refusal: { code, ran, retryAfterMs } });
 }
 
@@ -68,7 +68,7 @@
 }
 
 /** As the owner of a key, carries the call itself. */
-export function startOwnedRequest(world: World, requestId: string, head: RequestHead): void {
+export function startKeyOwnerRequest(world: World, requestId: string, head: RequestHead): void {
   const service = world.declared?.services.get(head.service);
   if (service === undefined) return;
   startRequest(world, requestId, head, service, true);
@@ -91,10 +91,10 @@
     deadlineMs: world.nowMs + (head.remainingMs > 0 ? head.remainingMs : service.defaultDeadlineMs),
     placedMs: world.nowMs,
     retryAtMs: 0,
-    askedBox: undefined,
+    targetBox: undefined,
     endpointId: undefined,
-    answerStarted: false,
-    isOwned,
+    responseStarted: false,
+    isKeyOwner: isOwned,
     bodyTaken: false,
   };
   world.requests.set(requestId, row);
@@ -109,32 +109,32 @@
   const ref = { requestId: row.id, attempt: row.attempt };
   const head = { ...row.head, remainingMs: row.deadlineMs - world.nowMs };
   if (isJudgedByOwner(row)) return askJudge(world, row, head);
-  const home = usesDirectory(world, row.service) ? findHome(world, head.service, head.chat) : undefined;
+  const home = usesDirectory(world, row.service) ? findHomeBox(world, head.service, head.chat) : undefined;
   const isRemote = home !== undefined && home !== world.self.boxId && row.attempt === 1;
   if (!isRemote) return decide(world, ref, world.self.boxId, home ?? '', head, row);
-  row.askedBox = home;
+  row.targetBox = home;
   emit(world, { type: 'send', to: home, frame: { type: 'place', ...ref, entry: world.self.boxId, head } });
 }
 
 /** Whether a key's owner decides if the call may run. */
 function isJudgedByOwner(row: RequestRow): boolean {
   const isNever = row.service.kind === 'plain' && row.service.repeat === 'never';
-  return isNever && row.head.key !== undefined && !row.isOwned;
+  return isNever && row.head.key !== undefined && !row.isKeyOwner;
 }
 
 function askJudge(world: World, row: RequestRow, head: RequestHead): void {
   const key = head.key ?? '';
   const retryAfterMs = spreadRetryAfter(world, 0);
-  if (parseCallKey(key) === undefined)
+  if (parseIdempotencyKey(key) === undefined)
     return refuseRequest(world, row.id, 'keyMalformed', 'no', retryAfterMs);
-  const judge = findJudge(world, key);
+  const judge = findDecidingBox(world, key);
   const isTicketOfStranger = judge !== undefined && judge !== world.self.boxId && !world.boxes.has(judge);
   if (judge === undefined) {
-    noteDoubt(world, key, { type: 'otherOwner', owner: undefined });
+    reportUncertainty(world, key, { type: 'otherOwner', owner: undefined });
     return refuseRequest(world, row.id, 'keyUnsure', 'unknown', retryAfterMs);
   }
   if (isTicketOfStranger) return refuseRequest(world, row.id, 'keyUnknown', 'unknown', retryAfterMs);
-  row.askedBox = judge;
+  row.targetBox = judge;
   const entry = world.self.boxId;
   sendToBox(world, judge, { type: 'keyed', requestId: row.id, attempt: row.attempt, entry, head });
 }
@@ -154,7 +154,7 @@
   const assign = buildAssignment(world, ref, entry, home, head, row.service);
   const [first] = assign.candidates;
   if (home === world.self.boxId) learnFirstChoice(world, assign);
-  row.askedBox = first === undefined ? undefined : world.endpoints.get(first)?.steward;
+  row.targetBox = first === undefined ? undefined : world.endpoints.get(first)?.ownerId;
   routeAssignment(world, assign);
 }
 
@@ -162,7 +162,7 @@
 function learnFirstChoice(world: World, assign: AssignFrame): void {
   const [first] = assign.candidates;
   const { service, chat } = assign.head;
-  if (first !== undefined) world.directory.learn(directoryKey(service, chat), first);
+  if (first !== undefined) world.directory.recordEngine(directoryKey(service, chat), first);
 }
 
 /** As a chat's home box, chooses the engines to ask for another box's request. */
@@ -190,11 +190,11 @@
     count(world, 'frame.foreign');
     return sendToBox(world, from, { type: 'cancel', requestId, attempt });
   }
-  noteLoads(world, from, frame.loads);
+  applyReportedLoads(world, from, frame.loads);
   row.phase = 'accepted';
-  row.askedBox = from;
+  row.targetBox = from;
   row.endpointId = frame.endpoint;
-  emit(world, { type: 'bindRequest', requestId, attempt, steward: from, endpointId: frame.endpoint });
+  emit(world, { type: 'bindRequest', requestId, attempt, ownerId: from, endpointId: frame.endpoint });
 }
 
 /** An attempt ended. What cannot have run is refused as it is; the rest may be tried again. */
@@ -202,7 +202,7 @@
   const row = findAttempt(world, frame);
   if (row === undefined) return count(world, 'frame.foreign');
   const reason = findRetryReason(row, frame);
-  if (reason !== undefined && tryAgain(world, row, reason, frame.ran)) return;
+  if (reason !== undefined && scheduleRetry(world, row, reason, frame.ran)) return;
   refuseRequest(world, row.id, frame.code, frame.ran, frame.retryAfterMs);
 }
 
@@ -224,14 +224,14 @@
 
 /** Tells the box that has the attempt to stop it. One still on its way is cancelled when it is accepted. */
 export function cancelAttempt(world: World, row: RequestRow): void {
-  if (row.phase !== 'accepted' || row.askedBox === undefined) return;
-  sendToBox(world, row.askedBox, { type: 'cancel', requestId: row.id, attempt: row.attempt });
+  if (row.phase !== 'accepted' || row.targetBox === undefined) return;
+  sendToBox(world, row.targetBox, { type: 'cancel', requestId: row.id, attempt: row.attempt });
 }
 
 /** Part of the answer reached the caller. */
 export function handleAnswerStarted(world: World, ref: AttemptRef): void {
   const row = findAttempt(world, ref);
-  if (row !== undefined) row.answerStarted = true;
+  if (row !== undefined) row.responseStarted = true;
 }
 
 /** The caller has the whole answer. */
@@ -239,8 +239,8 @@
   const row = findAttempt(world, ref);
   if (row === undefined) return;
   world.requests.delete(row.id);
-  if (row.isOwned) settleAnswered(world, row);
-  earnRetry(world, row.service.name);
+  if (row.isKeyOwner) completeKeyedCall(world, row);
+  replenishRetryBudget(world, row.service.name);
 }
 
 /** The answer was not what it announced: the caller must not take it for whole, and the rest of it is stopped. */
@@ -259,7 +259,7 @@
 
 /** Whether an attempt that was lost now may have run: it has left this box. */
 function mayHaveRun(world: World, row: RequestRow): boolean {
-  return row.askedBox !== undefined && (row.phase === 'accepted' || row.askedBox !== world.self.boxId);
+  return row.targetBox !== undefined && (row.phase === 'accepted' || row.targetBox !== world.self.boxId);
 }
 
 function sweepRequest(world: World, row: RequestRow): void {
@@ -272,16 +272,16 @@
     if (world.nowMs >= row.retryAtMs) placeRequest(world, row);
     return;
   }
-  const isLost = row.askedBox !== undefined && !isReachable(world, row.askedBox);
+  const isLost = row.targetBox !== undefined && !isReachable(world, row.targetBox);
   const isSlow = row.phase === 'placing' && world.nowMs - row.placedMs > world.settings.placeTimeoutMs;
   if (isLost) return loseAttempt(world, row);
-  if (isSlow) tryAgain(world, row, 'placeLost', 'unknown');
+  if (isSlow) scheduleRetry(world, row, 'placeLost', 'unknown');
 }
 
 /** The box that had the attempt is gone: try again if that is harmless, otherwise say what is known. */
 function loseAttempt(world: World, row: RequestRow): void {
   const reason = row.phase === 'accepted' ? 'stewardLost' : 'placeLost';
-  if (tryAgain(world, row, reason, 'unknown')) return;
+  if (scheduleRetry(world, row, reason, 'unknown')) return;
   refuseRequest(world, row.id, reason, 'unknown', spreadRetryAfter(world, 0));
 }
 
--- a/packages/core/src/systems/fairness.ts
+++ b/packages/core/src/systems/fairness.ts
@@ -51,7 +51,7 @@
   service: ServiceDeclaration,
   team: TeamName,
 ): boolean {
-  const running = row.inFlight + row.foreign;
+  const running = row.inFlight + row.foreignLoad;
   if (running >= service.maxInFlightPerEndpoint) return false;
   const open = Math.floor(service.maxInFlightPerEndpoint * (1 - world.settings.reserveShare));
   return running < open || isBelowFairShare(world, row, service, team);
--- a/packages/core/src/systems/reports.ts
+++ b/packages/core/src/systems/heartbeats.ts
@@ -6,17 +6,17 @@
 import type { World } from '../world.js';
 import { emit } from '../world.js';
 import { handOverEntries } from './chatDirectory.js';
-import { listOwnLoads } from './stewardship.js';
+import { listOwnedLoads } from './endpointOwnership.js';
 
 /** Builds the heartbeat of this moment. */
 export function buildHeartbeat(world: World): HeartbeatFrame {
   return {
     type: 'heartbeat',
-    loads: listOwnLoads(world),
+    loads: listOwnedLoads(world),
     stamps: VALUE_NAMES.map((name) => world.values[name].stamp),
     confirmedAtMs: VALUE_NAMES.map((name) => world.confirmedAtMs[name]),
     stopping: world.stop.type !== 'running',
-    platformOk: world.platformContact !== 'failed',
+    platformOk: world.platformConnectivity !== 'failed',
   };
 }
 
@@ -27,10 +27,10 @@
 }
 
 /** Sends a heartbeat when one is due, and entries to their new homes. */
-export function runReports(world: World): void {
+export function runHeartbeats(world: World): void {
   if (world.nowMs < world.nextHeartbeatMs) return;
   world.nextHeartbeatMs = world.nowMs + world.settings.heartbeatMs;
   broadcastHeartbeat(world);
-  if (!world.handoverPending) return;
-  world.handoverPending = handOverEntries(world, world.settings.handoverPerBeat) > 0;
+  if (!world.directoryHandoverPending) return;
+  world.directoryHandoverPending = handOverEntries(world, world.settings.handoverEntriesPerHeartbeat) > 0;
 }
--- a/packages/core/src/systems/heldKeys.ts
+++ b/packages/core/src/systems/heldKeys.ts
@@ -5,8 +5,8 @@
 import type { KeyedFrame } from '../frames.js';
 import type { World } from '../world.js';
 import { emit } from '../world.js';
-import type { KeyDoubt } from './keyDoubt.js';
-import { findListDoubt, OWNERSHIP_VALUES } from './keyDoubt.js';
+import type { KeyUncertainty } from './keyUncertainty.js';
+import { findListUncertainty, KEY_OWNERSHIP_VALUES } from './keyUncertainty.js';
 
 /** Longest wait of a key. Shorter than the time after which its entry box takes the ask for lost. */
 const HOLD_MS = 500;
@@ -20,16 +20,16 @@
 }
 
 /** The last time that the platform was asked because of a key. */
-export interface Confirmation {
-  readonly askedAtMs: number;
+export interface ListConfirmation {
+  readonly requestedAtMs: number;
   /** A call to the platform has failed since. */
   hasFailed: boolean;
 }
 
 /** Holds an ask if the platform may still settle the doubt soon. Returns false where it has to be refused. */
-export function holdKey(world: World, frame: KeyedFrame, doubt: KeyDoubt): boolean {
+export function holdKey(world: World, frame: KeyedFrame, doubt: KeyUncertainty): boolean {
   if (doubt.type !== 'listUnconfirmed') return false;
-  const { askedAtMs, hasFailed } = world.confirmation;
+  const { requestedAtMs: askedAtMs, hasFailed } = world.listConfirmation;
   const sinceAskedMs = world.nowMs - askedAtMs;
   const isUnderWay = sinceAskedMs < HOLD_MS && !hasFailed;
   if (!isUnderWay && sinceAskedMs < CONFIRM_INTERVAL_MS) return false;
@@ -39,14 +39,15 @@
 }
 
 function askPlatform(world: World): void {
-  world.confirmation = { askedAtMs: world.nowMs, hasFailed: false };
-  emit(world, { type: 'confirmValues', names: OWNERSHIP_VALUES });
+  world.listConfirmation = { requestedAtMs: world.nowMs, hasFailed: false };
+  emit(world, { type: 'confirmValues', names: KEY_OWNERSHIP_VALUES });
 }
 
 /** Takes out what need not wait any longer: all once the lists are confirmed or the call failed, else what waited its time. */
 export function takeReleasedKeys(world: World): KeyedFrame[] {
   if (world.heldKeys.length === 0) return [];
-  const isSettled = world.confirmation.hasFailed || findListDoubt(world)?.type !== 'listUnconfirmed';
+  const isSettled =
+    world.listConfirmation.hasFailed || findListUncertainty(world)?.type !== 'listUnconfirmed';
   const isReleased = ({ sinceMs }: HeldKey): boolean => isSettled || world.nowMs - sinceMs >= HOLD_MS;
   const released = world.heldKeys.filter(isReleased);
   world.heldKeys = world.heldKeys.filter((held) => !isReleased(held));
--- a/packages/core/src/systems/keyDoubt.ts
+++ b/packages/core/src/systems/keyUncertainty.ts
@@ -8,13 +8,13 @@
 import { count, emit } from '../world.js';
 
 /** The published values by which keys have owners. */
-export const OWNERSHIP_VALUES = ['declared', 'boxes'] as const satisfies readonly ValueName[];
+export const KEY_OWNERSHIP_VALUES = ['declared', 'boxes'] as const satisfies readonly ValueName[];
 
 /** While doubt lasts, one line for each of these spans is enough: the counter has them all. */
 const LOG_INTERVAL_MS = 1_000;
 
 /** The state that keeps a box from judging a key. */
-export type KeyDoubt =
+export type KeyUncertainty =
   /** The key's time lies ahead by more than callers' clocks may err, yet boxes' clocks could explain it. */
   | { readonly type: 'keyAhead'; readonly aheadMs: number }
   /** This box has handed its keys over. */
@@ -31,9 +31,9 @@
  *
  * @example findListDoubt(world) // { type: 'listUnconfirmed', name: 'boxes', ageMs: 8_120 }
  */
-export function findListDoubt(world: World): KeyDoubt | undefined {
-  for (const name of OWNERSHIP_VALUES) {
-    const newest = world.newestSeen[name];
+export function findListUncertainty(world: World): KeyUncertainty | undefined {
+  for (const name of KEY_OWNERSHIP_VALUES) {
+    const newest = world.newestPeerStamps[name];
     if (isNewer(newest, world.values[name].stamp))
       return { type: 'listBehind', name, newestVersion: newest[0] };
     const ageMs = world.nowMs - world.confirmedAtMs[name];
@@ -42,7 +42,7 @@
   return undefined;
 }
 
-function describeDoubt(doubt: KeyDoubt): string {
+function describeDoubt(doubt: KeyUncertainty): string {
   switch (doubt.type) {
     case 'keyAhead':
       return `its time lies ${doubt.aheadMs} ms ahead`;
@@ -58,9 +58,9 @@
 }
 
 /** Counts a doubt, and logs it if none was logged lately. */
-export function noteDoubt(world: World, key: string, doubt: KeyDoubt): void {
+export function reportUncertainty(world: World, key: string, doubt: KeyUncertainty): void {
   count(world, `keyDoubt.${doubt.type}`);
-  if (world.nowMs - world.doubtLoggedAtMs < LOG_INTERVAL_MS) return;
-  world.doubtLoggedAtMs = world.nowMs;
+  if (world.nowMs - world.uncertaintyLoggedAtMs < LOG_INTERVAL_MS) return;
+  world.uncertaintyLoggedAtMs = world.nowMs;
   emit(world, { type: 'log', level: 'warn', message: `key ${key} is in doubt: ${describeDoubt(doubt)}` });
 }
--- a/packages/core/src/systems/keys.ts
+++ b/packages/core/src/systems/keys.ts
@@ -2,62 +2,62 @@
  * Keys: calls that may not be repeated run at most once. The owner of a key judges every ask under it.
  */
 import type { KeyedFrame, KeysFrame } from '../frames.js';
-import { parseCallKey } from '../callKey.js';
-import type { CallKey, TicketKey, TimedKey } from '../callKey.js';
+import { parseIdempotencyKey } from '../idempotencyKey.js';
+import type { IdempotencyKey, TicketKey, TimedKey } from '../idempotencyKey.js';
 import type { BoxId } from '../records.js';
 import type { Ran, ResultCode } from '../resultCodes.js';
-import type { KeyAsker, KeyRow, KeyState } from '../tables/keys.js';
+import type { KeyRequester, KeyRow, KeyState } from '../tables/keys.js';
 import type { RequestRow } from '../tables/requests.js';
 import type { World } from '../world.js';
 import { emit } from '../world.js';
 import { refuseAttempt, sendToBox } from './admission.js';
-import { startOwnedRequest } from './entry.js';
+import { startKeyOwnerRequest } from './entry.js';
 import { holdKey, takeReleasedKeys } from './heldKeys.js';
-import type { KeyDoubt } from './keyDoubt.js';
-import { findListDoubt, noteDoubt } from './keyDoubt.js';
-import { findOwner, readOwnedSinceMs, readOwnershipMarginMs } from './ownership.js';
-import { listOwnLoads } from './stewardship.js';
+import type { KeyUncertainty } from './keyUncertainty.js';
+import { findListUncertainty, reportUncertainty } from './keyUncertainty.js';
+import { findTimedKeyOwner, readOwnedSinceMs, readOwnershipMarginMs } from './keyOwnership.js';
+import { listOwnedLoads } from './endpointOwnership.js';
 
 /** What an owner does with a key that it has no row for. */
-export type KeyVerdict =
+export type KeyDecision =
   | { readonly type: 'run' }
   | { readonly type: 'refuse'; readonly code: ResultCode; readonly ran: Ran }
   /** This box cannot tell: another may have run it, or may yet. */
-  | { readonly type: 'doubt'; readonly doubt: KeyDoubt };
+  | { readonly type: 'doubt'; readonly doubt: KeyUncertainty };
 
-const RUN: KeyVerdict = { type: 'run' };
+const RUN: KeyDecision = { type: 'run' };
 
-function refuse(code: ResultCode, ran: Ran): KeyVerdict {
+function refuse(code: ResultCode, ran: Ran): KeyDecision {
   return { type: 'refuse', code, ran };
 }
 
 /** Only the run of the box that issued a ticket may run it; needs no list, lease or clock. */
-function judgeTicket(world: World, key: TicketKey): KeyVerdict {
+function judgeTicket(world: World, key: TicketKey): KeyDecision {
   const { boxId, incarnation } = world.self;
   if (key.boxId !== boxId || key.incarnation !== incarnation) return refuse('keyUnknown', 'unknown');
-  if (key.serial <= world.forgottenSerial) return refuse('keyUnknown', 'unknown');
+  if (key.serial <= world.evictedUpToSerial) return refuse('keyUnknown', 'unknown');
   return world.stop.type === 'running' ? RUN : refuse('stopping', 'no');
 }
 
-function judgeTimed(world: World, text: string, key: TimedKey): KeyVerdict {
+function judgeTimed(world: World, text: string, key: TimedKey): KeyDecision {
   const { keySkewMs, clockErrorMs, keyRetentionMs } = world.settings;
   const aheadMs = key.timeMs - world.nowMs;
   // No box can have run it yet, even one whose clock is ahead of this one's.
   if (aheadMs > keySkewMs + 2 * clockErrorMs) return refuse('keyAhead', 'no');
   const doubt = findDoubt(world, text, aheadMs);
   if (doubt !== undefined) return { type: 'doubt', doubt };
-  const isForgotten = key.timeMs <= Math.max(world.forgottenTimeMs, world.nowMs - keyRetentionMs);
+  const isForgotten = key.timeMs <= Math.max(world.evictedUpToTimeMs, world.nowMs - keyRetentionMs);
   const isOlder = key.timeMs <= readOwnedSinceMs(world, text) + readOwnershipMarginMs(world);
   if (isForgotten || isOlder) return refuse('keyUnknown', 'unknown');
   return world.stop.type === 'running' ? RUN : refuse('stopping', 'no');
 }
 
-function findDoubt(world: World, text: string, aheadMs: number): KeyDoubt | undefined {
+function findDoubt(world: World, text: string, aheadMs: number): KeyUncertainty | undefined {
   if (aheadMs > world.settings.keySkewMs) return { type: 'keyAhead', aheadMs };
   // Once the keys are ceded a successor may run them.
   if (world.stop.type === 'stopped') return { type: 'ceded' };
-  const owner = findOwner(world, text);
-  return owner === world.self.boxId ? findListDoubt(world) : { type: 'otherOwner', owner };
+  const owner = findTimedKeyOwner(world, text);
+  return owner === world.self.boxId ? findListUncertainty(world) : { type: 'otherOwner', owner };
 }
 
 /**
@@ -65,7 +65,7 @@
  *
  * @example judgeKey(world, 'ticket.box-01.k3.7', { type: 'ticket', boxId: 'box-01', incarnation: 'k3', serial: 7 })
  */
-export function judgeKey(world: World, text: string, key: CallKey): KeyVerdict {
+export function decideKey(world: World, text: string, key: IdempotencyKey): KeyDecision {
   switch (key.type) {
     case 'ticket':
       return judgeTicket(world, key);
@@ -75,10 +75,10 @@
 }
 
 /** The box that judges a key, in this box's view. */
-export function findJudge(world: World, text: string): BoxId | undefined {
-  const key = parseCallKey(text);
+export function findDecidingBox(world: World, text: string): BoxId | undefined {
+  const key = parseIdempotencyKey(text);
   if (key === undefined) return undefined;
-  return key.type === 'ticket' ? key.boxId : findOwner(world, text);
+  return key.type === 'ticket' ? key.boxId : findTimedKeyOwner(world, text);
 }
 
 /** Acts as a key's owner on an ask for it. */
@@ -88,13 +88,13 @@
 
 function judgeAsk(world: World, frame: KeyedFrame, mayWait: boolean): void {
   const { requestId, attempt, entry, head } = frame;
-  const asker: KeyAsker = { requestId, attempt, entry };
+  const asker: KeyRequester = { requestId, attempt, entry };
   const text = head.key ?? '';
   const row = world.keys.get(text);
   if (row !== undefined) return answerFromRow(world, row, asker, head.service);
-  const key = parseCallKey(text);
+  const key = parseIdempotencyKey(text);
   if (key === undefined) return refuseAttempt(world, asker, 'keyMalformed', 'no');
-  const verdict = judgeKey(world, text, key);
+  const verdict = decideKey(world, text, key);
   switch (verdict.type) {
     case 'run':
       return runKeyedCall(world, frame, asker, text);
@@ -102,39 +102,39 @@
       return refuseAttempt(world, asker, verdict.code, verdict.ran);
     case 'doubt':
       if (mayWait && holdKey(world, frame, verdict.doubt)) return;
-      noteDoubt(world, text, verdict.doubt);
+      reportUncertainty(world, text, verdict.doubt);
       return refuseAttempt(world, asker, 'keyUnsure', 'unknown');
   }
 }
 
-function runKeyedCall(world: World, frame: KeyedFrame, asker: KeyAsker, key: string): void {
-  world.ownedRequests += 1;
+function runKeyedCall(world: World, frame: KeyedFrame, asker: KeyRequester, key: string): void {
+  world.keyedCallCount += 1;
   const { boxId, incarnation } = world.self;
-  const requestId = `${boxId}.${incarnation}.k${world.ownedRequests}`;
+  const requestId = `${boxId}.${incarnation}.k${world.keyedCallCount}`;
   const { service } = frame.head;
   const row: KeyRow = {
     key,
     service,
     requestId,
     state: { type: 'running' },
-    askers: [],
+    requesters: [],
     createdMs: world.nowMs,
   };
   world.keys.set(key, row);
   attach(world, row, asker);
   emit(world, { type: 'openKeyed', requestId });
-  startOwnedRequest(world, requestId, frame.head);
+  startKeyOwnerRequest(world, requestId, frame.head);
 }
 
 /** The entry box is told that its request is in hand; the answer follows when the call is done. */
-function attach(world: World, row: KeyRow, asker: KeyAsker): void {
+function attach(world: World, row: KeyRow, asker: KeyRequester): void {
   const { requestId, attempt, entry } = asker;
-  row.askers.push(asker);
-  const loads = listOwnLoads(world);
+  row.requesters.push(asker);
+  const loads = listOwnedLoads(world);
   sendToBox(world, entry, { type: 'accepted', requestId, attempt, endpoint: world.self.boxId, loads });
 }
 
-function answerFromRow(world: World, row: KeyRow, asker: KeyAsker, service: string): void {
+function answerFromRow(world: World, row: KeyRow, asker: KeyRequester, service: string): void {
   if (row.service !== service) return refuseAttempt(world, asker, 'keyReused', 'no');
   switch (row.state.type) {
     case 'running':
@@ -150,8 +150,9 @@
 }
 
 function deliver(world: World, row: KeyRow): void {
-  for (const asker of row.askers) emit(world, { type: 'deliverKeyed', keyedRequestId: row.requestId, asker });
-  row.askers = [];
+  for (const asker of row.requesters)
+    emit(world, { type: 'deliverKeyed', keyedRequestId: row.requestId, requester: asker });
+  row.requesters = [];
 }
 
 function findRow(world: World, request: RequestRow): KeyRow | undefined {
@@ -160,7 +161,7 @@
 }
 
 /** The owner's own request has its whole answer. */
-export function settleAnswered(world: World, request: RequestRow): void {
+export function completeKeyedCall(world: World, request: RequestRow): void {
   const row = findRow(world, request);
   if (row === undefined) return;
   row.state = { type: 'done' };
@@ -168,11 +169,11 @@
 }
 
 /** The owner's own request ended in a refusal. Only a call that did not run frees its key. */
-export function settleRefused(world: World, request: RequestRow, code: ResultCode, ran: Ran): void {
+export function failKeyedCall(world: World, request: RequestRow, code: ResultCode, ran: Ran): void {
   const row = findRow(world, request);
   if (row === undefined) return;
-  const { askers } = row;
-  row.askers = [];
+  const { requesters: askers } = row;
+  row.requesters = [];
   if (ran === 'no') world.keys.delete(row.key);
   else row.state = { type: 'unknown' };
   for (const asker of askers) refuseAttempt(world, asker, code, ran);
@@ -203,9 +204,9 @@
 function forgetKey(world: World, row: KeyRow): void {
   world.keys.delete(row.key);
   emit(world, { type: 'forgetKeyed', keyedRequestId: row.requestId });
-  const key = parseCallKey(row.key);
-  if (key?.type === 'ticket') world.forgottenSerial = Math.max(world.forgottenSerial, key.serial);
-  if (key?.type === 'timed') world.forgottenTimeMs = Math.max(world.forgottenTimeMs, key.timeMs);
+  const key = parseIdempotencyKey(row.key);
+  if (key?.type === 'ticket') world.evictedUpToSerial = Math.max(world.evictedUpToSerial, key.serial);
+  if (key?.type === 'timed') world.evictedUpToTimeMs = Math.max(world.evictedUpToTimeMs, key.timeMs);
 }
 
 /** What a successor may know of a row: that it ran, or that it may have. Answers stay behind. */
@@ -214,9 +215,9 @@
 }
 
 /** Hands the table to the boxes of the own hall, with the word that this box runs no more keys. */
-export function cedeKeys(world: World): void {
-  const successors = world.epochs.at(-1)?.members.get(world.self.hall) ?? [];
-  const sinceMs = world.epochs.at(-1)?.atMs ?? world.nowMs;
+export function handOverKeys(world: World): void {
+  const successors = world.keyOwnershipEpochs.at(-1)?.members.get(world.self.hall) ?? [];
+  const sinceMs = world.keyOwnershipEpochs.at(-1)?.atMs ?? world.nowMs;
   const entries = [...world.keys.values()].map(
     (row) => [row.key, row.service, toHandedState(row.state)] as const,
   );
@@ -233,10 +234,17 @@
 export function handleKeys(world: World, from: BoxId, frame: KeysFrame): void {
   for (const [key, service, state] of frame.entries) {
     if (world.keys.has(key)) continue;
-    const row = { key, service, requestId: '', state: { type: state }, askers: [], createdMs: world.nowMs };
+    const row = {
+      key,
+      service,
+      requestId: '',
+      state: { type: state },
+      requesters: [],
+      createdMs: world.nowMs,
+    };
     world.keys.set(key, row);
   }
   const { incarnation, atMs, sinceMs, listVersion } = frame;
-  world.ownershipChanged = true;
-  world.cessions.set(from, { boxId: from, incarnation, atMs, sinceMs, listVersion });
+  world.keyOwnershipChanged = true;
+  world.keyHandovers.set(from, { boxId: from, incarnation, atMs, sinceMs, listVersion });
 }
--- a/packages/core/src/systems/load.ts
+++ b/packages/core/src/systems/load.ts
@@ -4,7 +4,7 @@
 import type { ModelDeclaration, ServiceDeclaration } from '../records.js';
 import type { EndpointRow } from '../tables/endpoints.js';
 import type { World } from '../world.js';
-import { isUsable } from './stewardship.js';
+import { isUsable } from './endpointOwnership.js';
 
 /**
  * Requests at an endpoint as far as this box knows: exact where it is the steward, otherwise the steward's last word
@@ -12,10 +12,10 @@
  */
 export function readLoad(world: World, row: EndpointRow): number {
   if (world.settings.policy.type !== 'steward') {
-    return Math.max(row.inFlight, row.reported + row.inFlight - row.inFlightAtReport) + row.waiting;
+    return Math.max(row.inFlight, row.reportedInFlight + row.inFlight - row.inFlightAtReport) + row.waiting;
   }
-  if (row.steward === world.self.boxId) return row.inFlight + row.waiting + row.foreign;
-  return Math.max(0, row.knownLoad) + row.placedSince;
+  if (row.ownerId === world.self.boxId) return row.inFlight + row.waiting + row.foreignLoad;
+  return Math.max(0, row.ownerReportedLoad) + row.placedSinceReport;
 }
 
 /** An endpoint's share relative to one in full service; less than 1 while it ramps up. */
--- a/packages/core/src/systems/membership.ts
+++ b/packages/core/src/systems/membership.ts
@@ -33,22 +33,22 @@
   const row = world.boxes.get(record.id) ?? { ...createBoxRow(record, world.nowMs), listed: false };
   world.boxes.set(record.id, row);
   row.incarnation = incarnation;
-  world.ownershipChanged = true;
+  world.keyOwnershipChanged = true;
   row.stopping = false;
-  row.lastHeardMs = world.nowMs;
+  row.lastSeenAtMs = world.nowMs;
 }
 
 /** A link to a peer broke: it is not live until heard again. */
 export function handlePeerDown(world: World, boxId: BoxId): void {
   const row = world.boxes.get(boxId);
-  if (row !== undefined) row.lastHeardMs = -Infinity;
+  if (row !== undefined) row.lastSeenAtMs = -Infinity;
 }
 
 /** Notes a peer's sign of life. */
-export function noteHeartbeat(world: World, from: BoxId, frame: HeartbeatFrame): void {
+export function handleHeartbeat(world: World, from: BoxId, frame: HeartbeatFrame): void {
   const row = world.boxes.get(from);
   if (row === undefined) return;
-  row.lastHeardMs = world.nowMs;
+  row.lastSeenAtMs = world.nowMs;
   if (row.platformOk !== frame.platformOk) world.watchersChanged = true;
   row.platformOk = frame.platformOk;
   row.stopping = frame.stopping;
@@ -61,7 +61,7 @@
  */
 export function isLive(world: World, row: BoxRow): boolean {
   if (row.id === world.self.boxId) return world.stop.type === 'running';
-  const heard = world.nowMs - row.lastHeardMs <= world.settings.leaseMs;
+  const heard = world.nowMs - row.lastSeenAtMs <= world.settings.leaseMs;
   return row.listed && row.record.state === 'live' && !row.stopping && heard;
 }
 
@@ -69,7 +69,7 @@
 export function isReachable(world: World, boxId: BoxId): boolean {
   if (boxId === world.self.boxId) return true;
   const row = world.boxes.get(boxId);
-  return row !== undefined && world.nowMs - row.lastHeardMs <= world.settings.leaseMs;
+  return row !== undefined && world.nowMs - row.lastSeenAtMs <= world.settings.leaseMs;
 }
 
 function listLive(world: World): BoxId[] {
@@ -114,6 +114,6 @@
   world.live = { all, byHall: groupByHall(world, all) };
   world.topologyChanged = true;
   world.watchersChanged = true;
-  world.handoverPending = true;
+  world.directoryHandoverPending = true;
   forgetUnlisted(world);
 }
--- a/packages/core/src/systems/outliers.ts
+++ b/packages/core/src/systems/outliers.ts
@@ -3,12 +3,12 @@
  */
 import type { CallEndedEvent } from '../events.js';
 import type { CallRow } from '../tables/calls.js';
-import { callKey } from '../tables/calls.js';
+import { attemptKey } from '../tables/calls.js';
 import type { EndpointRow } from '../tables/endpoints.js';
 import type { World } from '../world.js';
 import { count } from '../world.js';
 import { passOnUnsentCall, refuseAttempt, removeCall } from './admission.js';
-import { isUsable } from './stewardship.js';
+import { isUsable } from './endpointOwnership.js';
 
 const MAX_EJECT_DOUBLINGS = 4;
 const LEAST_SERVER_ERROR = 500;
@@ -16,7 +16,7 @@
 const SERVICE_TIME_WEIGHT = 0.1;
 
 function noteSuccess(world: World, row: EndpointRow, call: CallRow): void {
-  row.failures = 0;
+  row.consecutiveFailures = 0;
   row.ejections = 0;
   const serviceMs = world.nowMs - call.startedMs;
   row.meanServiceMs += SERVICE_TIME_WEIGHT * (serviceMs - row.meanServiceMs);
@@ -37,18 +37,18 @@
 }
 
 function noteFailure(world: World, row: EndpointRow): void {
-  row.failures += 1;
-  if (row.failures < world.settings.ejectAfter || !mayEject(world, row)) return;
+  row.consecutiveFailures += 1;
+  if (row.consecutiveFailures < world.settings.ejectAfter || !mayEject(world, row)) return;
   const doublings = Math.min(row.ejections, MAX_EJECT_DOUBLINGS);
   row.ejectedUntilMs = world.nowMs + world.settings.ejectMs * 2 ** doublings;
   row.ejections += 1;
-  row.failures = 0;
+  row.consecutiveFailures = 0;
   count(world, 'endpoint.ejected');
 }
 
 /** Takes note of how a call ended and tells the entry box unless the answer itself says it. */
 export function handleCallEnded(world: World, event: CallEndedEvent): void {
-  const call = removeCall(world, callKey(event));
+  const call = removeCall(world, attemptKey(event));
   if (call === undefined) return;
   const row = world.endpoints.get(call.endpointId);
   const { outcome } = event;
--- a/packages/core/src/systems/placement.ts
+++ b/packages/core/src/systems/placement.ts
@@ -8,7 +8,7 @@
 import type { World } from '../world.js';
 import { directoryKey } from './chatDirectory.js';
 import { listUsable, readLoad, readRampShare } from './load.js';
-import { listOwnLoads } from './stewardship.js';
+import { listOwnedLoads } from './endpointOwnership.js';
 
 /** Sorts by load for the share, so that a ramping engine does not look idle. */
 function sortByLoad(world: World, rows: readonly EndpointRow[]): EndpointRow[] {
@@ -114,7 +114,7 @@
     head,
     candidates: [...ids.slice(skip), ...ids.slice(0, skip)],
     hops: 0,
-    observed: listOwnLoads(world),
+    observed: listOwnedLoads(world),
     passed: [],
     isLast: false,
     reason: 'noEndpoint',
--- a/packages/core/src/systems/retry.ts
+++ b/packages/core/src/systems/retry.ts
@@ -18,7 +18,7 @@
  * @example isRepeatable(row, 'unknown')
  */
 export function isRepeatable(row: RequestRow, ran: Ran): boolean {
-  if (row.answerStarted || row.bodyTaken) return false;
+  if (row.responseStarted || row.bodyTaken) return false;
   if (ran === 'no') return true;
   const { service } = row;
   switch (service.kind) {
@@ -38,7 +38,7 @@
     case 'keyChecked':
       return hasKey || SAFE_METHODS.has(row.head.method);
     case 'never':
-      return hasKey && !row.isOwned;
+      return hasKey && !row.isKeyOwner;
   }
 }
 
@@ -47,13 +47,13 @@
 }
 
 /** A success earns its service a part of a retry. */
-export function earnRetry(world: World, service: ServiceName): void {
-  const earned = readBudget(world, service) + world.settings.retryShare;
+export function replenishRetryBudget(world: World, service: ServiceName): void {
+  const earned = readBudget(world, service) + world.settings.retryRatio;
   world.retryBudgets.set(service, Math.min(world.settings.retryBurst, earned));
 }
 
 /** Backs off before the next attempt. Returns false if there may be none. */
-export function tryAgain(world: World, row: RequestRow, reason: RetryReason, ran: Ran): boolean {
+export function scheduleRetry(world: World, row: RequestRow, reason: RetryReason, ran: Ran): boolean {
   if (!isRepeatable(row, ran) || row.attempt >= world.settings.maxAttempts) return false;
   const budget = readBudget(world, row.service.name);
   if (budget < 1) {
@@ -67,6 +67,6 @@
   row.phase = 'backingOff';
   row.attempt += 1;
   row.retryAtMs = world.nowMs + backoffMs;
-  row.askedBox = undefined;
+  row.targetBox = undefined;
   return true;
 }
--- a/packages/core/src/tables/boxes.ts
+++ b/packages/core/src/tables/boxes.ts
@@ -8,7 +8,7 @@
   /** False once the list no longer names it. */
   listed: boolean;
   /** Time of the last sign of life; -Infinity once its link broke. */
-  lastHeardMs: number;
+  lastSeenAtMs: number;
   incarnation: string;
   /** It said that it is stopping. */
   stopping: boolean;
@@ -28,7 +28,7 @@
     id: record.id,
     record,
     listed: true,
-    lastHeardMs: nowMs,
+    lastSeenAtMs: nowMs,
     incarnation: '',
     stopping: false,
     isLive: false,
--- a/packages/core/src/tables/calls.ts
+++ b/packages/core/src/tables/calls.ts
@@ -19,6 +19,6 @@
  *
  * @example callKey({ requestId: 'b1.x.7', attempt: 2 }) // 'b1.x.7#2'
  */
-export function callKey(ref: AttemptRef): string {
+export function attemptKey(ref: AttemptRef): string {
   return `${ref.requestId}#${ref.attempt}`;
 }
--- a/packages/core/src/tables/directory.ts
+++ b/packages/core/src/tables/directory.ts
@@ -2,7 +2,7 @@
 import type { EndpointId } from '../records.js';
 
 /** Bounded map from a model's chat to its warm engines, most recent first. */
-export class Directory {
+export class ChatDirectory {
   private readonly chats = new Map<string, readonly EndpointId[]>();
 
   constructor(
@@ -21,18 +21,18 @@
   }
 
   /** Notes that an engine now holds the chat's prefix. */
-  learn(key: string, endpointId: EndpointId): void {
+  recordEngine(key: string, endpointId: EndpointId): void {
     const others = this.read(key).filter((id) => id !== endpointId);
     this.write(key, [endpointId, ...others]);
   }
 
   /** Takes over an entry from another box, unless this box knows the chat already. */
-  adopt(key: string, endpointIds: readonly EndpointId[]): void {
+  addIfMissing(key: string, endpointIds: readonly EndpointId[]): void {
     if (!this.chats.has(key)) this.write(key, endpointIds);
   }
 
   /** Forgets a chat. */
-  forget(key: string): void {
+  delete(key: string): void {
     this.chats.delete(key);
   }
 
--- a/packages/core/src/tables/endpoints.ts
+++ b/packages/core/src/tables/endpoints.ts
@@ -20,7 +20,7 @@
   reportedLeaving: boolean;
 
   /** The box that speaks to it, in this box's view. */
-  steward: BoxId | undefined;
+  ownerId: BoxId | undefined;
   /** Calls this box has running there. */
   inFlight: number;
   /** The same, by team. */
@@ -30,20 +30,20 @@
   /** Sum over waitingByTeam. */
   waiting: number;
   /** Load that its own reports show beyond this box's calls, such as a previous steward's. */
-  foreign: number;
+  foreignLoad: number;
   /** Most calls this box had there since the report before last; reports are late. */
   peakInFlight: number;
   /** Last report and this box's own count when it came; used by policies without stewards. */
-  reported: number;
+  reportedInFlight: number;
   inFlightAtReport: number;
 
   /** Load as its steward last said; negative when it takes no work. */
-  knownLoad: number;
+  ownerReportedLoad: number;
   /** Requests this box sent towards it since the steward said so. */
-  placedSince: number;
+  placedSinceReport: number;
 
   /** Failures in a row. */
-  failures: number;
+  consecutiveFailures: number;
   ejections: number;
   ejectedUntilMs: number;
   /** Moving average of how long a call takes there. */
@@ -68,18 +68,18 @@
     trustedFromMs: -Infinity,
     rampFromMs: -Infinity,
     reportedLeaving: false,
-    steward: undefined,
+    ownerId: undefined,
     inFlight: 0,
     runningByTeam: new Map(),
     waitingByTeam: new Map(),
     waiting: 0,
-    foreign: 0,
+    foreignLoad: 0,
     peakInFlight: 0,
-    reported: 0,
+    reportedInFlight: 0,
     inFlightAtReport: 0,
-    knownLoad: 0,
-    placedSince: 0,
-    failures: 0,
+    ownerReportedLoad: 0,
+    placedSinceReport: 0,
+    consecutiveFailures: 0,
     ejections: 0,
     ejectedUntilMs: -Infinity,
     meanServiceMs: INITIAL_SERVICE_MS,
--- a/packages/core/src/tables/keys.ts
+++ b/packages/core/src/tables/keys.ts
@@ -3,7 +3,7 @@
 import type { BoxId, ServiceName } from '../records.js';
 
 /** An asker whose entry box waits for the answer. */
-export interface KeyAsker extends AttemptRef {
+export interface KeyRequester extends AttemptRef {
   readonly entry: BoxId;
 }
 
@@ -25,6 +25,6 @@
   readonly requestId: RequestId;
   state: KeyState;
   /** Entry boxes that wait for the answer. */
-  askers: KeyAsker[];
+  requesters: KeyRequester[];
   readonly createdMs: number;
 }
--- a/packages/core/src/tables/requests.ts
+++ b/packages/core/src/tables/requests.ts
@@ -19,12 +19,12 @@
   /** When to try again, while backing off. */
   retryAtMs: number;
   /** The box last sent to; the steward once accepted. */
-  askedBox: BoxId | undefined;
+  targetBox: BoxId | undefined;
   endpointId: EndpointId | undefined;
   /** Part of the answer has reached the caller. */
-  answerStarted: boolean;
+  responseStarted: boolean;
   /** This box owns the request's key and carries the call itself. */
-  readonly isOwned: boolean;
+  readonly isKeyOwner: boolean;
   /** The caller's streamed body has been read and is gone. */
   bodyTaken: boolean;
 }
--- a/packages/core/src/world.ts
+++ b/packages/core/src/world.ts
@@ -20,10 +20,10 @@
 import type { Result } from './result.js';
 import type { Problem } from './resultCodes.js';
 import type { BoxRow } from './tables/boxes.js';
-import type { Confirmation, HeldKey } from './systems/heldKeys.js';
-import type { Cession, OwnershipEpoch } from './systems/ownership.js';
+import type { ListConfirmation, HeldKey } from './systems/heldKeys.js';
+import type { KeyHandover, KeyOwnershipEpoch } from './systems/keyOwnership.js';
 import type { CallRow } from './tables/calls.js';
-import { Directory } from './tables/directory.js';
+import { ChatDirectory } from './tables/directory.js';
 import type { EndpointRow } from './tables/endpoints.js';
 import type { RequestRow } from './tables/requests.js';
 import type { KeyRow } from './tables/keys.js';
@@ -79,11 +79,11 @@
   readonly endpoints: Map<EndpointId, EndpointRow>;
   readonly requests: Map<RequestId, RequestRow>;
   readonly calls: Map<string, CallRow>;
-  readonly directory: Directory;
+  readonly directory: ChatDirectory;
   readonly values: Record<ValueName, ValueRow>;
   declared: DeclaredIndex | undefined;
   /** Newest stamp that any peer showed. */
-  readonly newestSeen: Record<ValueName, ValueStamp>;
+  readonly newestPeerStamps: Record<ValueName, ValueStamp>;
   /** When each value was last confirmed with the platform, by a box's clock. */
   readonly confirmedAtMs: Record<ValueName, number>;
   /** Whether the platform last answered with an older value than the one in force. */
@@ -91,23 +91,23 @@
 
   readonly keys: Map<string, KeyRow>;
   /** Last words of boxes that stopped as planned. */
-  readonly cessions: Map<BoxId, Cession>;
+  readonly keyHandovers: Map<BoxId, KeyHandover>;
   /** Who may own keys, oldest first. */
-  readonly epochs: OwnershipEpoch[];
+  readonly keyOwnershipEpochs: KeyOwnershipEpoch[];
   /** Set when a box list or declared file skipped a version. */
   hasMissedVersion: boolean;
   /** Tickets up to this one are no longer in the table. */
-  forgottenSerial: number;
+  evictedUpToSerial: number;
   /** Timed keys up to this time are no longer in the table. */
-  forgottenTimeMs: number;
+  evictedUpToTimeMs: number;
   /** Keys that wait for the platform to confirm the lists, oldest first. */
   heldKeys: HeldKey[];
   /** How asking the platform for that goes. */
-  confirmation: Confirmation;
+  listConfirmation: ListConfirmation;
   /** When a doubt about a key was last logged. */
-  doubtLoggedAtMs: number;
+  uncertaintyLoggedAtMs: number;
   /** Calls this box has carried as an owner. */
-  ownedRequests: number;
+  keyedCallCount: number;
   /** Retries each service may still spend. */
   readonly retryBudgets: Map<ServiceName, number>;
 
@@ -122,16 +122,16 @@
   /** Set when other boxes may be the ones to watch the platform. */
   watchersChanged: boolean;
   /** Set when keys may have other owners. */
-  ownershipChanged: boolean;
+  keyOwnershipChanged: boolean;
   /** Set when a home box may have changed for some chats. */
-  handoverPending: boolean;
+  directoryHandoverPending: boolean;
   /** How the last call to the platform went; `unknown` while this box has not had to ask. */
-  platformContact: 'unknown' | 'ok' | 'failed';
+  platformConnectivity: 'unknown' | 'ok' | 'failed';
   nextHeartbeatMs: number;
   nextSweepMs: number;
   roundRobinNext: number;
   stop: StopState;
-  watchedNames: string;
+  watchedValueNames: string;
 
   /** Endpoints with calls waiting whose turn may have come. */
   readonly dirtyEndpoints: Set<EndpointRow>;
@@ -173,36 +173,36 @@
     endpoints: new Map(),
     requests: new Map(),
     calls: new Map(),
-    directory: new Directory(settings.maxChats, settings.warmPerChat),
+    directory: new ChatDirectory(settings.maxChats, settings.maxEnginesPerChat),
     values: forEachValue(createValueRow),
     declared: undefined,
-    newestSeen: forEachValue(() => NO_STAMP),
+    newestPeerStamps: forEachValue(() => NO_STAMP),
     confirmedAtMs: forEachValue(() => 0),
     platformIsOlder: forEachValue(() => false),
     keys: new Map(),
-    cessions: new Map(),
-    epochs: [],
+    keyHandovers: new Map(),
+    keyOwnershipEpochs: [],
     hasMissedVersion: false,
-    forgottenSerial: -1,
-    forgottenTimeMs: -Infinity,
+    evictedUpToSerial: -1,
+    evictedUpToTimeMs: -Infinity,
     heldKeys: [],
-    confirmation: { askedAtMs: -Infinity, hasFailed: false },
-    doubtLoggedAtMs: -Infinity,
-    ownedRequests: 0,
+    listConfirmation: { requestedAtMs: -Infinity, hasFailed: false },
+    uncertaintyLoggedAtMs: -Infinity,
+    keyedCallCount: 0,
     retryBudgets: new Map(),
     live: { all: [], byHall: new Map() },
     endpointsByService: new Map(),
     liveEndpointIds: new Map(),
     topologyChanged: true,
     watchersChanged: true,
-    ownershipChanged: true,
-    handoverPending: false,
-    platformContact: 'unknown',
+    keyOwnershipChanged: true,
+    directoryHandoverPending: false,
+    platformConnectivity: 'unknown',
     nextHeartbeatMs: nowMs,
     nextSweepMs: nowMs,
     roundRobinNext: 0,
     stop: { type: 'running' },
-    watchedNames: '',
+    watchedValueNames: '',
     dirtyEndpoints: new Set(),
     effects: [],
   };
--- a/packages/daemon/src/__fixtures__/smallDeployment.ts
+++ b/packages/daemon/src/__fixtures__/smallDeployment.ts
@@ -3,7 +3,7 @@
 import { DEPLOYMENTS } from '@hazelwalk/standins';
 
 /** Two boxes, two engines and one worker in one hall. */
-export const SMALL: DeploymentSpec = {
+export const SMALL_DEPLOYMENT: DeploymentSpec = {
   ...DEPLOYMENTS.lavanda,
   halls: ['mixco'],
   boxCount: 2,
@@ -13,7 +13,7 @@
 };
 
 /** What a caller got. */
-export interface Answer {
+export interface CallerResponse {
   readonly status: number;
   readonly text: string;
   readonly headers: Headers;
@@ -26,11 +26,11 @@
 }
 
 /** Sends a chat turn. */
-export async function askChat(
+export async function sendChat(
   caller: string,
   body: Record<string, unknown> | string = {},
   headers: Record<string, string> = {},
-): Promise<Answer> {
+): Promise<CallerResponse> {
   const usual = { model: 'assistant', stream: true, messages: [{ role: 'user', content: 'hello' }] };
   const response = await fetch(`http://${caller}/v1/chat/completions`, {
     method: 'POST',
@@ -45,7 +45,7 @@
   caller: string,
   path: string,
   init: RequestInit & { headers?: Record<string, string> } = {},
-): Promise<Answer> {
+): Promise<CallerResponse> {
   const response = await fetch(`http://${caller}/services/${path}`, {
     method: 'POST',
     ...init,
@@ -55,6 +55,6 @@
 }
 
 /** Reads a refusal's body. */
-export function readProblem(answer: Answer): ProblemBody {
+export function parseProblem(answer: CallerResponse): ProblemBody {
   return JSON.parse(answer.text) as ProblemBody;
 }
--- a/packages/daemon/src/__fixtures__/virtualKeyFleet.ts
+++ b/packages/daemon/src/__fixtures__/virtualKeyFleet.ts
@@ -8,7 +8,7 @@
 import { createHasher, createWorld, DEFAULT_CORE_SETTINGS, runTurn } from '@hazelwalk/core';
 import type { CoreEvent, Refusal } from '@hazelwalk/core';
 import { PlatformWatch } from '../adapters/platformWatch.js';
-import type { ValueQuery, ValueReading } from '../adapters/platformReader.js';
+import type { ValueQuery, ValueReadResult } from '../adapters/platformReader.js';
 
 const HALL = 'mixco';
 const TICK_MS = 50;
@@ -27,7 +27,7 @@
 }
 
 /** A refusal that a caller got. */
-export interface SeenRefusal {
+export interface ReceivedRefusal {
   readonly atMs: number;
   readonly entry: BoxId;
   readonly key: string;
@@ -50,7 +50,7 @@
     readonly world: World,
     private readonly fleet: VirtualKeyFleet,
   ) {
-    const readValue = async (query: ValueQuery): Promise<ValueReading> => {
+    const readValue = async (query: ValueQuery): Promise<ValueReadResult> => {
       await this.stand();
       const reading = await fleet.readValue(query);
       await this.stand();
@@ -69,7 +69,7 @@
   }
 
   /** Nothing runs on this box for a while. */
-  standStill(ms: number): void {
+  pause(ms: number): void {
     this.standsStillUntilMs = Date.now() + ms;
     setTimeout(() => this.drain(), ms);
   }
@@ -104,9 +104,9 @@
       case 'dispatch':
         return this.runCall(effect.requestId, effect.attempt, effect.entry);
       case 'deliverKeyed':
-        return this.fleet.send(this.id, effect.asker.entry, { type: 'answerEnded', ...effect.asker });
+        return this.fleet.send(this.id, effect.requester.entry, { type: 'answerEnded', ...effect.requester });
       case 'refuseCaller':
-        return this.fleet.noteRefusal(this.id, effect.requestId, effect.refusal);
+        return this.fleet.recordRefusal(this.id, effect.requestId, effect.refusal);
       // Links are up from the start, answers need no sink, and no endpoint is read.
       case 'connectPeers':
       case 'watchEndpoints':
@@ -132,8 +132,8 @@
 /** Some boxes of one hall, their platform and their callers. */
 export class VirtualKeyFleet {
   readonly boxes: VirtualBox[] = [];
-  readonly refusals: SeenRefusal[] = [];
-  asked = 0;
+  readonly refusals: ReceivedRefusal[] = [];
+  requestCount = 0;
   private readonly published = new Map<ValueName, string>();
   private readonly keys = new Map<string, string>();
 
@@ -174,7 +174,7 @@
   }
 
   /** What a platform that keeps its word answers: at once if the value is another, else once the wait is over. */
-  async readValue({ name, etag, waitMs }: ValueQuery): Promise<ValueReading> {
+  async readValue({ name, etag, waitMs }: ValueQuery): Promise<ValueReadResult> {
     const text = this.published.get(name) ?? '';
     const isKnown = etag === name;
     if (this.timing.isPlatformUp) await wait(this.timing.platformMs() + (isKnown ? waitMs : 0));
@@ -190,15 +190,15 @@
   }
 
   /** A caller was refused. */
-  noteRefusal(entry: BoxId, requestId: string, refusal: Refusal): void {
+  recordRefusal(entry: BoxId, requestId: string, refusal: Refusal): void {
     const key = this.keys.get(requestId);
     if (key !== undefined) this.refusals.push({ atMs: Date.now(), entry, key, refusal });
   }
 
   private ask(box: VirtualBox): void {
-    this.asked += 1;
-    const key = createUuid(Date.now(), this.asked);
-    const requestId = `${box.id}.ask.${this.asked}`;
+    this.requestCount += 1;
+    const key = createUuid(Date.now(), this.requestCount);
+    const requestId = `${box.id}.ask.${this.requestCount}`;
     this.keys.set(requestId, key);
     box.emit({ type: 'callerRequest', requestId, head: createHead(key) });
   }
@@ -210,7 +210,7 @@
 }
 
 /** When a caller made a key. */
-export function readTimeMs(key: string): number {
+export function parseKeyTimeMs(key: string): number {
   return parseInt(key.slice(0, 8) + key.slice(9, 13), 16);
 }
 
--- a/packages/daemon/src/__tests__/failures.test.ts
+++ b/packages/daemon/src/__tests__/failures.test.ts
@@ -1,7 +1,7 @@
 /** Failures of real processes: kills, freezes, cuts from the platform. Evidence is what endpoints counted. */
 import { Deployment, waitFor } from '@hazelwalk/standins';
 import type { BoxHandle, EndpointHandle } from '@hazelwalk/standins';
-import { askChat, callService, readProblem, SMALL } from '../__fixtures__/smallDeployment.js';
+import { sendChat, callService, parseProblem, SMALL_DEPLOYMENT } from '../__fixtures__/smallDeployment.js';
 import type { BoxStatus } from '../boxStatus.js';
 
 const KEY_FLAGS = ['--keyLagMs', '100', '--keyLeaseMs', '1500', '--keySkewMs', '100', '--clockErrorMs', '10'];
@@ -13,7 +13,7 @@
 beforeEach(async () => {
   const timing = ['--heartbeatMs', '200', '--leaseMs', '800'];
   deployment = await Deployment.start({
-    ...SMALL,
+    ...SMALL_DEPLOYMENT,
     boxCount: 3,
     workerFlags: SLOW_BOOKING,
     boxFlags: [...KEY_FLAGS, ...timing],
@@ -87,7 +87,7 @@
   const key = await createTicket(owner);
   await deployment.endBox(owner, 'SIGKILL');
   const asked = await book(pickOther(), key);
-  expect(readProblem(asked)).toMatchObject({ ran: 'unknown' });
+  expect(parseProblem(asked)).toMatchObject({ ran: 'unknown' });
   expect((await readRuns())[key]).toBeUndefined();
 });
 
@@ -117,7 +117,7 @@
   for (const [index, key] of keys.entries()) {
     expect(runs[key] ?? 0).toBeLessThanOrEqual(1);
     for (const answer of [answers[index], again[index]]) {
-      const saysNo = answer !== undefined && answer.status !== 200 && readProblem(answer).ran === 'no';
+      const saysNo = answer !== undefined && answer.status !== 200 && parseProblem(answer).ran === 'no';
       expect([key, saysNo && (runs[key] ?? 0) > 0]).toEqual([key, false]);
     }
   }
@@ -143,7 +143,7 @@
   const asked = book(entry);
   await waitFor(async () => Object.keys(await readRuns()).length === 1);
   await deployment.endBox(steward, 'SIGKILL');
-  expect(readProblem(await asked)).toMatchObject({ ran: 'unknown' });
+  expect(parseProblem(await asked)).toMatchObject({ ran: 'unknown' });
   await waitFor(async () => (await deployment.readStatus<BoxStatus>(entry)).liveBoxes.length === 2);
   expect(Object.values(await readRuns())).toEqual([1]);
 });
@@ -153,7 +153,7 @@
   const entry = pickOther(steward);
   steward.child.kill('SIGSTOP');
   const lost = await callService(entry.caller, 'booking/pickups', { body: 'linen' });
-  expect(readProblem(lost)).toMatchObject({ ran: 'unknown' });
+  expect(parseProblem(lost)).toMatchObject({ ran: 'unknown' });
   const answer = await book(entry);
   expect(answer.status).toBe(200);
   steward.child.kill('SIGCONT');
@@ -165,7 +165,7 @@
   const steward = await findSteward('engine-01');
   const entry = pickOther(steward);
   const chats = Array.from({ length: 12 }, (_, chat) =>
-    askChat(entry.caller, { tokens: 6 }, { 'hazelwalk-chat': `kill-${chat}` }),
+    sendChat(entry.caller, { tokens: 6 }, { 'hazelwalk-chat': `kill-${chat}` }),
   );
   await deployment.endBox(steward, 'SIGKILL');
   const answers = await Promise.all(chats);
@@ -174,7 +174,7 @@
     const isTyped = text.includes('event: error') || status >= 500;
     expect([isWhole || isTyped, text]).toEqual([true, text]);
   }
-  const after = await askChat(entry.caller, {}, { 'hazelwalk-chat': 'kill-0' });
+  const after = await sendChat(entry.caller, {}, { 'hazelwalk-chat': 'kill-0' });
   expect(after.text.endsWith('data: [DONE]\n\n')).toBe(true);
 });
 
@@ -183,7 +183,7 @@
   const seeds = deployment.boxes.map((box) => box.peer);
   const newcomer = await deployment.startBox('box-09', 'mixco', ['--seedAddresses', ...seeds]);
   await waitFor(async () => (await fetch(`http://${newcomer.caller}/readyz`)).status === 200);
-  const answer = await askChat(newcomer.caller);
+  const answer = await sendChat(newcomer.caller);
   expect(answer.text.endsWith('data: [DONE]\n\n')).toBe(true);
   expect((await book(pickOther(newcomer))).status).toBe(200);
 });
@@ -216,12 +216,12 @@
     const status = await deployment.readStatus<BoxStatus>(await findSteward(leaving.id));
     return status.endpoints.find(({ id }) => id === leaving.id)?.state === 'leaving';
   });
-  const answers = await Promise.all(Array.from({ length: 12 }, () => askChat(pickOther().caller)));
+  const answers = await Promise.all(Array.from({ length: 12 }, () => sendChat(pickOther().caller)));
   expect(answers.map(({ headers }) => headers.get('hazelwalk-endpoint'))).toEqual(Array(12).fill(staying.id));
 });
 
 test('a key younger than the margin of a box that just started is not run by guess', async () => {
   const key = createUuid(Date.now() - MARGIN_MS, 1);
-  expect(readProblem(await book(pickOther(), key))).toMatchObject({ ran: 'unknown' });
+  expect(parseProblem(await book(pickOther(), key))).toMatchObject({ ran: 'unknown' });
   expect((await readRuns())[key]).toBeUndefined();
 });
--- a/packages/daemon/src/__tests__/keyConfirmation.test.ts
+++ b/packages/daemon/src/__tests__/keyConfirmation.test.ts
@@ -9,7 +9,7 @@
  * Shown by the owner's log in a fleet without a fault, 7 to 9 in 100 asks: "declared was confirmed 1505 ms ago" of 1500.
  */
 import type { CoreSettings } from '@hazelwalk/core';
-import { readTimeMs, VirtualKeyFleet } from '../__fixtures__/virtualKeyFleet.js';
+import { parseKeyTimeMs, VirtualKeyFleet } from '../__fixtures__/virtualKeyFleet.js';
 
 const START_MS = 1_800_000_000_000;
 const SECOND_MS = 1_000;
@@ -53,7 +53,7 @@
 test.each(TIMINGS)('while nothing is wrong, every key has an owner that runs it (%j)', async (timing) => {
   const fleet = await startFleet(timing);
   await jest.advanceTimersByTimeAsync(20 * SECOND_MS);
-  expect(fleet.asked).toBeGreaterThan(5_000);
+  expect(fleet.requestCount).toBeGreaterThan(5_000);
   expect(countCodes(fleet)).toEqual({});
 });
 
@@ -62,7 +62,7 @@
   async (timing) => {
     const fleet = await startFleet(timing);
     for (const stillMs of [700, 1_500, 3_000, 9_000]) {
-      fleet.findBox(1).standStill(stillMs);
+      fleet.findBox(1).pause(stillMs);
       await jest.advanceTimersByTimeAsync(stillMs + 5 * SECOND_MS);
     }
     expect(countUnsure(fleet, 0)).toBe(0);
@@ -85,7 +85,7 @@
   const fleet = await startFleet(SHORT);
   fleet.timing.isPlatformUp = false;
   await jest.advanceTimersByTimeAsync(12 * SECOND_MS);
-  const waits = fleet.refusals.map(({ atMs, key }) => atMs - readTimeMs(key));
+  const waits = fleet.refusals.map(({ atMs, key }) => atMs - parseKeyTimeMs(key));
   expect(Math.max(...waits)).toBeLessThan(50);
 });
 
@@ -93,7 +93,7 @@
   const fleet = await startFleet(SHORT);
   fleet.timing.platformMs = () => 60 * SECOND_MS;
   await jest.advanceTimersByTimeAsync(12 * SECOND_MS);
-  const waits = fleet.refusals.map(({ atMs, key }) => atMs - readTimeMs(key));
+  const waits = fleet.refusals.map(({ atMs, key }) => atMs - parseKeyTimeMs(key));
   expect(Math.max(...waits)).toBeLessThan(600);
   expect(waits.filter((waitMs) => waitMs < 50).length).toBeGreaterThan(waits.length / 3);
 });
--- a/packages/daemon/src/__tests__/wholePath.test.ts
+++ b/packages/daemon/src/__tests__/wholePath.test.ts
@@ -2,14 +2,14 @@
 import { connect } from 'node:net';
 import { Deployment, waitFor } from '@hazelwalk/standins';
 import { encodeFrame, PROTOCOL_VERSION } from '@hazelwalk/wire';
-import { askChat, callService, readProblem, SMALL } from '../__fixtures__/smallDeployment.js';
+import { sendChat, callService, parseProblem, SMALL_DEPLOYMENT } from '../__fixtures__/smallDeployment.js';
 import type { BoxStatus } from '../boxStatus.js';
 
 let deployment: Deployment;
 let caller: string;
 
 beforeAll(async () => {
-  deployment = await Deployment.start(SMALL);
+  deployment = await Deployment.start(SMALL_DEPLOYMENT);
   caller = deployment.boxes[0]?.caller ?? '';
 });
 
@@ -17,7 +17,7 @@
 
 /** The daemon is still there and serves others. */
 afterEach(async () => {
-  const answer = await askChat(caller);
+  const answer = await sendChat(caller);
   expect([answer.status, answer.text.endsWith('data: [DONE]\n\n')]).toEqual([200, true]);
 });
 
@@ -33,18 +33,18 @@
 test('a chat streams back whole through any box, and returns to its engine', async () => {
   const answers = [];
   for (const box of deployment.boxes)
-    answers.push(await askChat(box.caller, {}, { 'hazelwalk-chat': 'chat-1' }));
+    answers.push(await sendChat(box.caller, {}, { 'hazelwalk-chat': 'chat-1' }));
   expect(answers.map((answer) => answer.text.match(/t\d/g)?.length)).toEqual([6, 6]);
   expect(answers[0]?.headers.get('hazelwalk-endpoint')).toBe(answers[1]?.headers.get('hazelwalk-endpoint'));
 });
 
 test('a chat that does not stream comes back whole', async () => {
-  const answer = await askChat(caller, { stream: false });
+  const answer = await sendChat(caller, { stream: false });
   expect(JSON.parse(answer.text)).toMatchObject({ object: 'chat.completion' });
 });
 
 test('the request id is echoed', async () => {
-  const answer = await askChat(caller, {}, { 'x-request-id': 'mine-7' });
+  const answer = await sendChat(caller, {}, { 'x-request-id': 'mine-7' });
   expect(answer.headers.get('x-request-id')).toBe('mine-7');
 });
 
@@ -74,12 +74,12 @@
   ['an unknown team', {}, { 'hazelwalk-team': 'nobody' }, 403, 2004],
   ['an unknown model', { model: 'nothing' }, {}, 404, 2006],
 ])('%s is refused with its number', async (_name, body, headers, status, code) => {
-  const answer = await askChat(caller, body, headers as Record<string, string>);
-  expect([answer.status, readProblem(answer)]).toMatchObject([status, { code, ran: 'no' }]);
+  const answer = await sendChat(caller, body, headers as Record<string, string>);
+  expect([answer.status, parseProblem(answer)]).toMatchObject([status, { code, ran: 'no' }]);
 });
 
 test('an unknown service and an unknown path are refused with their numbers', async () => {
-  expect(readProblem(await callService(caller, 'nothing/x'))).toMatchObject({ code: 2005, ran: 'no' });
+  expect(parseProblem(await callService(caller, 'nothing/x'))).toMatchObject({ code: 2005, ran: 'no' });
   const answer = await (await fetch(`http://${caller}/nowhere`)).json();
   expect(answer).toMatchObject({ code: 2007, ran: 'no' });
 });
@@ -125,11 +125,11 @@
 test('an endpoint that never answers costs the caller no more than the deadline', async () => {
   const headers = { 'hazelwalk-deadline-ms': '300' };
   const answer = await callService(caller, 'booking/never', { body: 'x', headers });
-  expect([answer.status, readProblem(answer)]).toMatchObject([504, { code: 3001, ran: 'unknown' }]);
+  expect([answer.status, parseProblem(answer)]).toMatchObject([504, { code: 3001, ran: 'unknown' }]);
 });
 
 test.each(['break', 'noEnd'])('a stream that an engine ends early (%s) gets a typed end', async (fault) => {
-  const answer = await askChat(caller, { fault });
+  const answer = await sendChat(caller, { fault });
   expect(answer.text).not.toContain('[DONE]');
   expect(answer.text).toMatch(/event: error\ndata: \{.*"ran":"unknown"/);
 });
@@ -162,12 +162,12 @@
   await deployment.publishBoxes();
   await deployment.waitUntilReady(3);
   const running = Array.from({ length: 8 }, (_, chat) =>
-    askChat(box.caller, { tokens: 60 }, { 'hazelwalk-chat': `stop-${chat}` }),
+    sendChat(box.caller, { tokens: 60 }, { 'hazelwalk-chat': `stop-${chat}` }),
   );
   await waitFor(async () => (await deployment.readStatus<BoxStatus>(box)).requestsInFlight === 8);
   const exitCode = deployment.endBox(box, 'SIGTERM');
   await waitFor(async () => (await fetch(`http://${box.caller}/readyz`)).status === 503);
-  expect(readProblem(await askChat(box.caller))).toMatchObject({ code: 2012, ran: 'no' });
+  expect(parseProblem(await sendChat(box.caller))).toMatchObject({ code: 2012, ran: 'no' });
   const answers = await Promise.all(running);
   expect(answers.map((answer) => answer.text.endsWith('data: [DONE]\n\n'))).toEqual(Array(8).fill(true));
   expect(await exitCode).toBe(0);
--- a/packages/daemon/src/adapters/adminServer.ts
+++ b/packages/daemon/src/adapters/adminServer.ts
@@ -9,7 +9,7 @@
 export interface AdminServerOptions {
   readonly readStatus: () => unknown;
   /** The declared file in force, as published. */
-  readonly readDeclared: () => string;
+  readonly readDeclaredFile: () => string;
   readonly explainChat: (model: string, chat: string) => unknown;
   readonly requestStop: () => void;
 }
@@ -40,7 +40,7 @@
       case 'GET /v1/status':
         return answerJson(res, this.options.readStatus());
       case 'GET /v1/declared':
-        return answerJson(res, { text: this.options.readDeclared() });
+        return answerJson(res, { text: this.options.readDeclaredFile() });
       case 'GET /v1/explain': {
         const { searchParams } = url;
         return answerJson(
--- a/packages/daemon/src/adapters/callerServer.ts
+++ b/packages/daemon/src/adapters/callerServer.ts
@@ -8,7 +8,7 @@
 import { z } from 'zod';
 import type { EmitEvent } from '../coreLoop.js';
 import { listenOn } from './addresses.js';
-import type { AnswerSink } from './exchange.js';
+import type { ResponseSink } from './exchange.js';
 import { Exchange } from './exchange.js';
 import type { HeaderPairs } from './headers.js';
 import { HEADER, listEndToEndHeaders, readHeader } from './headers.js';
@@ -39,7 +39,7 @@
   readonly metrics: Metrics;
   /** Issues a key for a call that may not be repeated. */
   readonly createTicket: () => string;
-  readonly sinks: Map<string, AnswerSink>;
+  readonly sinks: Map<string, ResponseSink>;
 }
 
 /** Listens for callers. */
--- a/packages/daemon/src/adapters/endpointCalls.ts
+++ b/packages/daemon/src/adapters/endpointCalls.ts
@@ -13,7 +13,7 @@
   ResultCode,
   StreamFrame,
 } from '@hazelwalk/core';
-import { callKey } from '@hazelwalk/core';
+import { attemptKey } from '@hazelwalk/core';
 import type { Dispatcher } from 'undici';
 import { Agent, errors } from 'undici';
 import type { EmitEvent } from '../coreLoop.js';
@@ -55,7 +55,7 @@
 
   /** Calls an endpoint. */
   dispatch(effect: DispatchEffect): void {
-    const key = callKey(effect);
+    const key = attemptKey(effect);
     const agent = this.options.mayShareConnection(effect.head.service) ? this.shared : this.unshared;
     const call = new EndpointCall(effect, this.options, () => this.calls.delete(key));
     this.calls.set(key, call);
@@ -64,12 +64,12 @@
 
   /** Stops a call. */
   cancel(ref: AttemptRef): void {
-    this.calls.get(callKey(ref))?.cancel();
+    this.calls.get(attemptKey(ref))?.cancel();
   }
 
   /** Handles a frame of the request's body or credit. Returns false if no call of that attempt runs here. */
   handleFrame(frame: StreamFrame): boolean {
-    return this.calls.get(callKey(frame))?.handleFrame(frame) ?? false;
+    return this.calls.get(attemptKey(frame))?.handleFrame(frame) ?? false;
   }
 
   /** Closes all connections. */
@@ -125,7 +125,7 @@
       case 'data':
         return this.takeBody(frame.seq, frame.bytes);
       case 'end':
-        if (!this.bodyReceiver.isWhole(frame.count)) return false;
+        if (!this.bodyReceiver.isComplete(frame.count)) return false;
         this.body?.end();
         return true;
       case 'credit':
@@ -199,9 +199,9 @@
 
   private takeBody(seq: number, bytes: Uint8Array): boolean {
     const { body } = this;
-    if (body === undefined || !this.bodyReceiver.accepts(seq)) return false;
-    if (body.write(bytes)) this.bodyReceiver.passedOn(bytes.length);
-    else body.once('drain', () => this.bodyReceiver.passedOn(bytes.length));
+    if (body === undefined || !this.bodyReceiver.acceptPiece(seq)) return false;
+    if (body.write(bytes)) this.bodyReceiver.returnCredit(bytes.length);
+    else body.once('drain', () => this.bodyReceiver.returnCredit(bytes.length));
     return true;
   }
 
--- a/packages/daemon/src/adapters/exchange.ts
+++ b/packages/daemon/src/adapters/exchange.ts
@@ -41,7 +41,7 @@
 }
 
 /** Whatever takes an answer at the box that a steward sends it to. */
-export interface AnswerSink {
+export interface ResponseSink {
   /** A steward took the request: later frames must be of this attempt and from this box. */
   bind(ref: AttemptRef, steward: BoxId, endpointId: EndpointId): void;
   /** Handles a frame of the answer. Returns false if it belongs to another attempt or came out of order. */
@@ -51,7 +51,7 @@
 }
 
 /** One caller's request and answer. */
-export class Exchange implements AnswerSink {
+export class Exchange implements ResponseSink {
   private binding: Binding | undefined;
   private announcedBytes: number | undefined;
   private passedBytes = 0;
@@ -133,21 +133,21 @@
 
   private passOn(binding: Binding, frame: DataFrame): boolean {
     const { res } = this.options;
-    if (!this.isHeadSet || !binding.answer.accepts(frame.seq)) return false;
+    if (!this.isHeadSet || !binding.answer.acceptPiece(frame.seq)) return false;
     this.passedBytes += frame.bytes.length;
     if (this.announcedBytes !== undefined && this.passedBytes > this.announcedBytes) {
       this.fail('answerTooLong');
       return true;
     }
-    if (res.write(frame.bytes)) binding.answer.passedOn(frame.bytes.length);
-    else res.once('drain', () => binding.answer.passedOn(frame.bytes.length));
+    if (res.write(frame.bytes)) binding.answer.returnCredit(frame.bytes.length);
+    else res.once('drain', () => binding.answer.returnCredit(frame.bytes.length));
     return true;
   }
 
   private finish(binding: Binding, frame: EndFrame): boolean {
     const isBodyless = this.options.head.method === 'HEAD' || this.passedBytes === this.announcedBytes;
     const isShort = this.announcedBytes !== undefined && !isBodyless;
-    if (!binding.answer.isWhole(frame.count) || isShort) {
+    if (!binding.answer.isComplete(frame.count) || isShort) {
       this.fail('answerTooShort');
       return true;
     }
--- a/packages/daemon/src/adapters/keyedAnswers.ts
+++ b/packages/daemon/src/adapters/keyedResponses.ts
@@ -6,12 +6,12 @@
   AttemptRef,
   BoxId,
   EndpointId,
-  KeyAsker,
+  KeyRequester,
   RequestId,
   StreamFrame,
 } from '@hazelwalk/core';
 import type { EmitEvent } from '../coreLoop.js';
-import type { AnswerSink } from './exchange.js';
+import type { ResponseSink } from './exchange.js';
 import { readHeader } from './headers.js';
 import { StreamReceiver } from './streams.js';
 
@@ -19,18 +19,18 @@
 const MAX_HELD_BYTES = 192 * 1024;
 
 /** What held answers need from the daemon. */
-export interface KeyedAnswersOptions {
+export interface KeyedResponsesOptions {
   readonly emit: EmitEvent;
   readonly send: (to: BoxId, frame: StreamFrame) => void;
   /** Where frames of answers are routed by request. */
-  readonly sinks: Map<RequestId, AnswerSink>;
+  readonly sinks: Map<RequestId, ResponseSink>;
 }
 
 /** All held answers. */
-export class KeyedAnswers {
+export class KeyedResponses {
   private readonly answers = new Map<RequestId, KeyedAnswer>();
 
-  constructor(private readonly options: KeyedAnswersOptions) {}
+  constructor(private readonly options: KeyedResponsesOptions) {}
 
   /** Begins to hold the answer of a request. */
   open(requestId: RequestId): void {
@@ -40,19 +40,19 @@
   }
 
   /** Sends a held answer to an asker. */
-  deliver(requestId: RequestId, asker: KeyAsker): void {
+  deliver(requestId: RequestId, asker: KeyRequester): void {
     this.answers.get(requestId)?.deliver(asker);
   }
 
   /** Drops an answer. */
-  forget(requestId: RequestId): void {
+  discard(requestId: RequestId): void {
     this.answers.delete(requestId);
     this.options.sinks.delete(requestId);
   }
 }
 
 /** One held answer. */
-class KeyedAnswer implements AnswerSink {
+class KeyedAnswer implements ResponseSink {
   private ref: AttemptRef | undefined;
   private steward: BoxId = '';
   private receiver: StreamReceiver | undefined;
@@ -62,7 +62,7 @@
 
   constructor(
     private readonly requestId: RequestId,
-    private readonly options: KeyedAnswersOptions,
+    private readonly options: KeyedResponsesOptions,
   ) {}
 
   bind(ref: AttemptRef, steward: BoxId, _endpointId: EndpointId): void {
@@ -94,7 +94,7 @@
     this.options.sinks.delete(this.requestId);
   }
 
-  deliver(asker: KeyAsker): void {
+  deliver(asker: KeyRequester): void {
     const { requestId, attempt, entry } = asker;
     if (this.head === undefined) return;
     const { status, headers } = this.head;
@@ -105,21 +105,21 @@
   }
 
   private hold(receiver: StreamReceiver, seq: number, bytes: Uint8Array): boolean {
-    if (!receiver.accepts(seq)) return false;
+    if (!receiver.acceptPiece(seq)) return false;
     this.heldBytes += bytes.length;
     if (this.heldBytes > MAX_HELD_BYTES) {
       this.options.emit({ type: 'answerBroken', requestId: this.requestId, code: 'answerTooLarge' });
       return true;
     }
     this.pieces.push(Buffer.from(bytes));
-    receiver.passedOn(bytes.length);
+    receiver.returnCredit(bytes.length);
     return true;
   }
 
   private finish(ref: AttemptRef, receiver: StreamReceiver, count: number): boolean {
     const announced = readHeader(this.head?.headers ?? [], 'content-length');
     const isShort = announced !== undefined && Number(announced) !== this.heldBytes;
-    if (!receiver.isWhole(count) || isShort) {
+    if (!receiver.isComplete(count) || isShort) {
       this.options.emit({ type: 'answerBroken', requestId: this.requestId, code: 'answerTooShort' });
       return true;
     }
--- a/packages/daemon/src/adapters/platformReader.ts
+++ b/packages/daemon/src/adapters/platformReader.ts
@@ -22,13 +22,13 @@
 }
 
 /** How a call went. */
-export type ValueReading =
+export type ValueReadResult =
   | { readonly type: 'changed'; readonly text: string; readonly etag: string }
   | { readonly type: 'unchanged' }
   | { readonly type: 'failed' };
 
 /** Reads one value; never rejects. */
-export type ReadValue = (query: ValueQuery) => Promise<ValueReading>;
+export type ReadValue = (query: ValueQuery) => Promise<ValueReadResult>;
 
 /**
  * Creates the reader of a platform.
--- a/packages/daemon/src/adapters/platformWatch.ts
+++ b/packages/daemon/src/adapters/platformWatch.ts
@@ -93,7 +93,7 @@
       this.etags.set(name, reading.etag);
       emit({ type: 'valueRead', name, text: reading.text });
     }
-    emit({ type: 'platformContact', name, ok, askedAtMs });
+    emit({ type: 'platformContact', name, ok, requestedAtMs: askedAtMs });
     return ok;
   }
 }
--- a/packages/daemon/src/adapters/streams.ts
+++ b/packages/daemon/src/adapters/streams.ts
@@ -56,19 +56,19 @@
   ) {}
 
   /** Whether this is the next piece; any other is late, doubled or follows a gap. */
-  accepts(seq: number): boolean {
+  acceptPiece(seq: number): boolean {
     if (seq !== this.nextSeq) return false;
     this.nextSeq += 1;
     return true;
   }
 
   /** Whether a body of so many pieces has arrived whole. */
-  isWhole(count: number): boolean {
+  isComplete(count: number): boolean {
     return count === this.nextSeq;
   }
 
   /** Notes bytes passed on, and returns credit when enough has gathered. */
-  passedOn(bytes: number): void {
+  returnCredit(bytes: number): void {
     this.owedBytes += bytes;
     if (this.owedBytes < CREDIT_STEP_BYTES) return;
     const { requestId, attempt } = this.ref;
--- a/packages/daemon/src/box.ts
+++ b/packages/daemon/src/box.ts
@@ -11,8 +11,8 @@
 import { ControlAgent } from './adapters/controlAgent.js';
 import { EndpointCalls } from './adapters/endpointCalls.js';
 import { EndpointReports } from './adapters/endpointReports.js';
-import type { AnswerSink } from './adapters/exchange.js';
-import { KeyedAnswers } from './adapters/keyedAnswers.js';
+import type { ResponseSink } from './adapters/exchange.js';
+import { KeyedResponses } from './adapters/keyedResponses.js';
 import { Metrics } from './adapters/metrics.js';
 import { PeerLinks } from './adapters/peerLinks.js';
 import { createPlatformReader } from './adapters/platformReader.js';
@@ -35,8 +35,8 @@
   private readonly loop: CoreLoop;
   private readonly metrics: Metrics;
   private readonly control = new ControlAgent();
-  private readonly sinks = new Map<string, AnswerSink>();
-  private readonly keyed: KeyedAnswers;
+  private readonly sinks = new Map<string, ResponseSink>();
+  private readonly keyed: KeyedResponses;
   private readonly peers: PeerLinks;
   private readonly calls: EndpointCalls;
   private readonly platform: PlatformWatch;
@@ -78,7 +78,7 @@
       send,
       mayShareConnection: (name) => this.mayShareConnection(name),
     });
-    this.keyed = new KeyedAnswers({ emit, send, sinks: this.sinks });
+    this.keyed = new KeyedResponses({ emit, send, sinks: this.sinks });
     this.callers = new CallerServer({
       maxBodyBytes: settings.maxBodyBytes,
       maxHeaderBytes: settings.maxHeaderBytes,
@@ -92,7 +92,7 @@
     });
     this.admin = new AdminServer({
       readStatus: () => this.readStatus(),
-      readDeclared: () => world.values.declared.text,
+      readDeclaredFile: () => world.values.declared.text,
       explainChat: (model, chat) => explainChat(world, model, chat),
       requestStop: () => this.requestStop(),
     });
@@ -211,13 +211,13 @@
       case 'cancelCall':
         return this.calls.cancel(effect);
       case 'bindRequest':
-        return this.bind(effect.requestId, effect.attempt, effect.steward, effect.endpointId);
+        return this.bind(effect.requestId, effect.attempt, effect.ownerId, effect.endpointId);
       case 'openKeyed':
         return this.keyed.open(effect.requestId);
       case 'deliverKeyed':
-        return this.keyed.deliver(effect.keyedRequestId, effect.asker);
+        return this.keyed.deliver(effect.keyedRequestId, effect.requester);
       case 'forgetKeyed':
-        return this.keyed.forget(effect.keyedRequestId);
+        return this.keyed.discard(effect.keyedRequestId);
       case 'refuseCaller':
         return this.sinks.get(effect.requestId)?.refuse(effect.refusal);
       case 'count':
--- a/packages/daemon/src/boxStatus.ts
+++ b/packages/daemon/src/boxStatus.ts
@@ -2,7 +2,7 @@
  * What a box tells operators: what is in force, whom it sees, what it looks after, and what it refused.
  */
 import type { EndpointId, World } from '@hazelwalk/core';
-import { directoryKey, findHome, isReady, rankCandidates, readLoad } from '@hazelwalk/core';
+import { directoryKey, findHomeBox, isReady, rankCandidates, readLoad } from '@hazelwalk/core';
 import type { Metrics } from './adapters/metrics.js';
 import type { PeerBytes } from './adapters/peerLinks.js';
 
@@ -43,7 +43,7 @@
 function describeEndpoints(world: World): EndpointStatus[] {
   return [...world.endpoints.values()].map((row) => ({
     id: row.id,
-    steward: row.steward ?? null,
+    steward: row.ownerId ?? null,
     load: readLoad(world, row),
     waiting: row.waiting,
     state: describeState(world, row),
@@ -78,7 +78,7 @@
     refusedRevisionProblems: world.values.declared.problems.map(
       (problem) => `${problem.at}: ${problem.detail}`,
     ),
-    platform: world.platformContact,
+    platform: world.platformConnectivity,
     liveBoxes: world.live.all,
     endpoints: describeEndpoints(world),
     requestsInFlight: world.requests.size,
@@ -111,7 +111,7 @@
 /** Explains a chat's placement. */
 export function explainChat(world: World, model: string, chat: string): ChatExplanation {
   const service = world.declared?.services.get(model);
-  const home = findHome(world, model, chat) ?? null;
+  const home = findHomeBox(world, model, chat) ?? null;
   const ranked = service === undefined ? [] : rankCandidates(world, service, chat);
   return {
     chat,
@@ -121,7 +121,7 @@
     warm: world.directory.read(directoryKey(model, chat)),
     candidates: ranked.map((row) => ({
       id: row.id,
-      steward: row.steward ?? null,
+      steward: row.ownerId ?? null,
       load: readLoad(world, row),
     })),
     problem: service === undefined ? `HW2006 the model "${model}" is not declared` : null,
--- a/packages/measure/src/coreDriver.ts
+++ b/packages/measure/src/coreDriver.ts
@@ -113,7 +113,7 @@
       this.turn(id, { type: 'valueRead', name: 'declared', text: 'declared' });
       this.turn(id, { type: 'valueRead', name: 'boxes', text: boxes });
       this.turn(id, { type: 'valueRead', name: 'endpoints', text: this.fleet.writeList() });
-      this.turn(id, { type: 'platformContact', name: 'boxes', ok: true, askedAtMs: 0 });
+      this.turn(id, { type: 'platformContact', name: 'boxes', ok: true, requestedAtMs: 0 });
     }
   }
 
--- a/packages/measure/src/slopes.ts
+++ b/packages/measure/src/slopes.ts
@@ -102,7 +102,7 @@
 async function measureHeartbeat(boxes: number): Promise<number> {
   const world = await createBox(boxes, Math.round(boxes * ENDPOINTS_PER_BOX));
   world.nextHeartbeatMs = Infinity;
-  const own = [...world.endpoints.values()].filter((row) => row.steward === 'box-1');
+  const own = [...world.endpoints.values()].filter((row) => row.ownerId === 'box-1');
   const loads = own.map((row) => [row.id, 100] as const);
   const stamps = [0, 1, 2].map(() => [0, 0] as const);
   const frame = {
@@ -181,8 +181,8 @@
   const before = readHeapBytes();
   for (let index = 0; index < chats; index += 1) {
     const key = directoryKey(MODEL, `chat-${index}-0123456789abcdef`);
-    world.directory.learn(key, `engine-000${index % 10}`);
-    world.directory.learn(key, `engine-000${(index + 1) % 10}`);
+    world.directory.recordEngine(key, `engine-000${index % 10}`);
+    world.directory.recordEngine(key, `engine-000${(index + 1) % 10}`);
   }
   const bytes = readHeapBytes() - before;
   if (world.directory.size !== chats) throw new Error('the directory forgot chats');
@@ -201,7 +201,7 @@
       service: 'booking',
       requestId,
       state: { type: 'done' },
-      askers: [],
+      requesters: [],
       createdMs: index,
     });
   }
