--- a/packages/router/src/__fixtures__/createPlacement.ts
+++ b/packages/router/src/__fixtures__/createPlacement.ts
@@ -1,4 +1,4 @@
-/** Placement of a box of the hall `a` for tests: nothing is hot, emptied or cold unless a test says so. */
+/** Creates placements and placement requests for tests. */
 import type { Hasher } from '@hazelwalk/core';
 import { Evacuations } from '../systems/evacuations.js';
 import type { PlacementOptions, PlacementRequest } from '../systems/placement.js';
@@ -6,8 +6,9 @@
 import { PromptDemand } from '../systems/promptDemand.js';
 import { PromptHolders } from '../systems/promptHolders.js';
 import type { EndpointTable } from '../tables/endpointTable.js';
-import { createColdEndpoints } from './createEndpoints.js';
+import { createColdEndpointLimiter } from './createEndpoints.js';
 
+/** Creates the placement of a box in the hall `a`, by default without hot prompts, evacuations and cold endpoints. */
 export function createPlacement(
   hasher: Hasher,
   table: EndpointTable,
@@ -21,7 +22,7 @@
     promptHolders: new PromptHolders(),
     demand: new PromptDemand(),
     evacuations: new Evacuations(),
-    cold: createColdEndpoints(hasher),
+    cold: createColdEndpointLimiter(hasher),
     findRegion: () => undefined,
     readLoadPath: () => 'direct',
     readLoadAgeMs: () => 300,
@@ -29,8 +30,8 @@
   });
 }
 
-/** A request of a generation that shares a prompt with others. */
-export function askFor(prompt: string): PlacementRequest {
+/** Creates a request for a generation that shares a prompt with other requests. */
+export function createPromptRequest(prompt: string): PlacementRequest {
   return {
     service: 'llm',
     promptParts: [
--- a/packages/router/src/__tests__/placement.test.ts
+++ b/packages/router/src/__tests__/placement.test.ts
@@ -2,7 +2,10 @@
 import type { Hasher } from '@hazelwalk/core';
 import { createRandom } from '@hazelwalk/standins';
 import { createListing, createTable } from '../__fixtures__/createEndpoints.js';
-import { askFor as ask, createPlacement as createPlacementOf } from '../__fixtures__/createPlacement.js';
+import {
+  createPromptRequest as createRequest,
+  createPlacement as createPlacementOf,
+} from '../__fixtures__/createPlacement.js';
 import type { Placement, PlacementOptions } from '../systems/placement.js';
 import { choosePlainEndpoint } from '../systems/plainPlacement.js';
 import { PromptDemand } from '../systems/promptDemand.js';
@@ -15,223 +18,235 @@
   hasher = await createHasher();
 });
 
-const noneExcluded: ReadonlySet<string> = new Set();
+const noExclusions: ReadonlySet<string> = new Set();
 const NOW_MS = 60_000;
 
 const createPlacement = (
   table: EndpointTable,
-  homes = new PromptHolders(),
+  promptHolders = new PromptHolders(),
   changes: Partial<PlacementOptions> = {},
-): Placement => createPlacementOf(hasher, table, { promptHolders: homes, ...changes });
+): Placement => createPlacementOf(hasher, table, { promptHolders, ...changes });
 
-test('every box sends a prompt to the same endpoint, whatever the rest of the request', () => {
+test('every box sends a prompt to the same endpoint, whatever the rest of the request is', () => {
   const first = createPlacement(createTable(12).table);
   const second = createPlacement(createTable(12).table);
   for (let prompt = 0; prompt < 50; prompt += 1) {
-    const chosen = first.choose(ask(`p${prompt}`), NOW_MS)?.row.listing.id;
-    expect(second.choose(ask(`p${prompt}`), NOW_MS)?.row.listing.id).toBe(chosen);
+    const chosen = first.choose(createRequest(`p${prompt}`), NOW_MS)?.row.listing.id;
+    expect(second.choose(createRequest(`p${prompt}`), NOW_MS)?.row.listing.id).toBe(chosen);
   }
 });
 
-test('a loaded home passes a prompt to the same next endpoint, which takes the prompt from the home', () => {
+test('if the preferred endpoint is full, a prompt always goes to the same next one, with the preferred one as cache source', () => {
   const { table, rows } = createTable(12);
   const placement = createPlacement(table);
-  const home = placement.choose(ask('p'), NOW_MS)?.row;
-  if (home === undefined) throw new Error('no home');
-  home.inFlight = 10;
-  const next = placement.choose(ask('p'), NOW_MS);
-  expect(next?.row).not.toBe(home);
-  expect(next?.cacheSource).toBe(home);
-  expect(placement.choose(ask('p'), NOW_MS)?.row).toBe(next?.row);
+  const preferred = placement.choose(createRequest('p'), NOW_MS)?.row;
+  if (preferred === undefined) throw new Error('no preferred endpoint');
+  preferred.inFlight = 10;
+  const next = placement.choose(createRequest('p'), NOW_MS);
+  expect(next?.row).not.toBe(preferred);
+  expect(next?.cacheSource).toBe(preferred);
+  expect(placement.choose(createRequest('p'), NOW_MS)?.row).toBe(next?.row);
   expect(rows.length).toBe(12);
 });
 
-test('the load that peers told counts like the own', () => {
+test('the load reported by peers counts like the local load', () => {
   const { table } = createTable(12);
   const placement = createPlacement(table);
-  const home = placement.choose(ask('p'), NOW_MS)?.row;
-  if (home === undefined) throw new Error('no home');
-  home.peersInFlight = 10;
-  expect(placement.choose(ask('p'), NOW_MS)?.row).not.toBe(home);
+  const preferred = placement.choose(createRequest('p'), NOW_MS)?.row;
+  if (preferred === undefined) throw new Error('no preferred endpoint');
+  preferred.peersInFlight = 10;
+  expect(placement.choose(createRequest('p'), NOW_MS)?.row).not.toBe(preferred);
 });
 
-test('no endpoint carries more than twice the mean and three, however hot one prompt is', () => {
+test('no endpoint gets more than twice the mean load plus three, however hot a prompt is', () => {
   const { table, rows } = createTable(10);
   const placement = createPlacement(table);
   for (let count = 0; count < 100; count += 1) {
-    const chosen = placement.choose(ask('hot'), NOW_MS)?.row;
+    const chosen = placement.choose(createRequest('hot'), NOW_MS)?.row;
     if (chosen !== undefined) chosen.inFlight += 1;
     const mean = rows.reduce((sum, row) => sum + row.inFlight, 0) / rows.length;
     expect(Math.max(...rows.map((row) => row.inFlight))).toBeLessThanOrEqual(2 * mean + 3);
   }
 });
 
-/** Endpoints of which all but the first `usable` in the order of a prompt are ejected and idle. */
-function createPartlyEjected(usable: number, held: number): { table: EndpointTable; order: EndpointRow[] } {
+/**
+ * Creates endpoints in the order of a prompt's ranking: the first `usable` ones have the given load, the others are ejected and
+ * idle.
+ */
+function createPartlyEjected(usable: number, load: number): { table: EndpointTable; order: EndpointRow[] } {
   const { table, rows } = createTable(12);
   const order: EndpointRow[] = [];
   while (order.length < rows.length) {
     const excluded = new Set(order.map((row) => row.listing.id));
-    order.push(createPlacement(table).choose({ ...ask('p'), excluded }, NOW_MS)!.row);
+    order.push(createPlacement(table).choose({ ...createRequest('p'), excluded }, NOW_MS)!.row);
   }
-  for (const [place, row] of order.entries()) {
-    if (place < usable) row.peersInFlight = held;
+  for (const [rank, row] of order.entries()) {
+    if (rank < usable) row.peersInFlight = load;
     else row.health = { type: 'ejected', untilMs: NOW_MS + 1_000, priorEjections: 0 };
   }
   return { table, order };
 }
 
-test('endpoints that this box does not use do not raise the cap of those that are left', () => {
+test('ejected endpoints do not raise the load cap of the others', () => {
   const { table, order } = createPartlyEjected(7, 6);
   order[0]!.peersInFlight = 10;
   const mean = (6 * 6 + 10) / 12;
   expect(order[0]!.peersInFlight + 1).toBeGreaterThan(2 * mean + 3);
-  expect(createPlacement(table).choose(ask('p'), NOW_MS)?.row).toBe(order[1]);
+  expect(createPlacement(table).choose(createRequest('p'), NOW_MS)?.row).toBe(order[1]);
 });
 
-test('nor do endpoints that were tried', () => {
+test('excluded endpoints do not raise the load cap of the others', () => {
   const { table, order } = createPartlyEjected(12, 1);
-  const tried = order.filter((_, place) => place !== 1 && place < 9);
+  const tried = order.filter((_, rank) => rank !== 1 && rank < 9);
   for (const row of tried) row.peersInFlight = 0;
   order[1]!.peersInFlight = 4;
   const excluded = new Set(tried.map((row) => row.listing.id));
-  expect(createPlacement(table).choose({ ...ask('p'), excluded }, NOW_MS)?.row).toBe(order[9]);
+  expect(createPlacement(table).choose({ ...createRequest('p'), excluded }, NOW_MS)?.row).toBe(order[9]);
 });
 
-test('where all that are left hold more than the cap, their order and their own mean decide', () => {
+test('if all usable endpoints are over the cap, their order and their own mean load decide', () => {
   const { table, order } = createPartlyEjected(3, 10);
   order[0]!.peersInFlight = 40;
-  const choice = createPlacement(table).choose(ask('p'), NOW_MS);
+  const choice = createPlacement(table).choose(createRequest('p'), NOW_MS);
   expect(choice).toMatchObject({ row: order[1], way: 'overflow' });
 });
 
-test('a newcomer takes its prompts from where they are held, once', () => {
+test('a new endpoint fetches each of its prompts from the previous holder once', () => {
   const { table } = createTable(6);
   const placement = createPlacement(table);
   const prompts = Array.from({ length: 60 }, (_, at) => `p${at}`);
-  const before = new Map(prompts.map((prompt) => [prompt, placement.choose(ask(prompt), NOW_MS)?.row]));
-  const newcomer = table.upsert(createListing('newcomer'), NOW_MS);
-  const first = new Map(prompts.map((prompt) => [prompt, placement.choose(ask(prompt), NOW_MS + 60_000)]));
-  const moved = prompts.filter((prompt) => first.get(prompt)?.row === newcomer);
+  const before = new Map(
+    prompts.map((prompt) => [prompt, placement.choose(createRequest(prompt), NOW_MS)?.row]),
+  );
+  const added = table.upsert(createListing('newcomer'), NOW_MS);
+  const first = new Map(
+    prompts.map((prompt) => [prompt, placement.choose(createRequest(prompt), NOW_MS + 60_000)]),
+  );
+  const moved = prompts.filter((prompt) => first.get(prompt)?.row === added);
   expect(moved.length).toBeGreaterThan(0);
   for (const prompt of moved) {
     expect(first.get(prompt)?.cacheSource).toBe(before.get(prompt));
-    expect(placement.choose(ask(prompt), NOW_MS)?.cacheSource).toBeUndefined();
+    expect(placement.choose(createRequest(prompt), NOW_MS)?.cacheSource).toBeUndefined();
   }
 });
 
-test('a box that knows nothing of a prompt guesses its holder while a newcomer is new', () => {
+test('a box without a known holder of a prompt derives it from the ranking while an endpoint is new', () => {
   const { table } = createTable(6);
   const prompts = Array.from({ length: 60 }, (_, at) => `p${at}`);
   const before = new Map(
-    prompts.map((prompt) => [prompt, createPlacement(table).choose(ask(prompt), NOW_MS)?.row]),
+    prompts.map((prompt) => [prompt, createPlacement(table).choose(createRequest(prompt), NOW_MS)?.row]),
   );
-  const newcomer = table.upsert(createListing('newcomer'), NOW_MS);
+  const added = table.upsert(createListing('newcomer'), NOW_MS);
   const moved = prompts.filter(
-    (prompt) => createPlacement(table).choose(ask(prompt), NOW_MS)?.row === newcomer,
+    (prompt) => createPlacement(table).choose(createRequest(prompt), NOW_MS)?.row === added,
   );
   expect(moved.length).toBeGreaterThan(0);
   for (const prompt of moved) {
-    expect(createPlacement(table).choose(ask(prompt), NOW_MS)?.cacheSource).toBe(before.get(prompt));
-    expect(createPlacement(table).choose(ask(prompt), NOW_MS + 60_000)?.cacheSource).toBeUndefined();
+    expect(createPlacement(table).choose(createRequest(prompt), NOW_MS)?.cacheSource).toBe(
+      before.get(prompt),
+    );
+    expect(
+      createPlacement(table).choose(createRequest(prompt), NOW_MS + 60_000)?.cacheSource,
+    ).toBeUndefined();
   }
 });
 
-test('a box that other boxes told where a prompt is held takes it from there, whatever the ranking says', () => {
+test('a holder that other boxes reported is the cache source, whatever the ranking is', () => {
   const { table, rows } = createTable(6);
-  const homes = new PromptHolders();
-  const home = createPlacement(table).choose(ask('p'), NOW_MS)?.row;
-  const other = rows.find((row) => row !== home);
-  if (home === undefined || other === undefined) throw new Error('no endpoints');
-  const noted = new PromptHolders();
-  createPlacement(table, noted).choose(ask('p'), NOW_MS);
-  const [prompt = 0] = noted.takeUnsent(1);
-  homes.addReported([prompt, other.tag]);
-  const choice = createPlacement(table, homes).choose(ask('p'), NOW_MS);
-  expect(choice).toEqual({ row: home, way: 'home', load: 0, meanLoad: 0, cacheSource: other });
+  const promptHolders = new PromptHolders();
+  const preferred = createPlacement(table).choose(createRequest('p'), NOW_MS)?.row;
+  const other = rows.find((row) => row !== preferred);
+  if (preferred === undefined || other === undefined) throw new Error('no endpoints');
+  const ownHolders = new PromptHolders();
+  createPlacement(table, ownHolders).choose(createRequest('p'), NOW_MS);
+  const [prompt = 0] = ownHolders.takeUnsent(1);
+  promptHolders.addReported([prompt, other.tag]);
+  const choice = createPlacement(table, promptHolders).choose(createRequest('p'), NOW_MS);
+  expect(choice).toEqual({ row: preferred, way: 'home', load: 0, meanLoad: 0, cacheSource: other });
 });
 
-test('a holder at its cap is the source of the prompt for the endpoint that stands in, which then holds it too', () => {
+test('a holder at its cap is the cache source of the endpoint that replaces it, which then is a holder too', () => {
   const { table } = createTable(12);
   const placement = createPlacement(table);
-  const home = placement.choose(ask('p'), NOW_MS)?.row;
-  if (home === undefined) throw new Error('no home');
-  home.inFlight = 10;
-  const next = placement.choose(ask('p'), NOW_MS);
-  expect(next?.cacheSource).toBe(home);
-  expect(placement.choose(ask('p'), NOW_MS)?.cacheSource).toBeUndefined();
+  const preferred = placement.choose(createRequest('p'), NOW_MS)?.row;
+  if (preferred === undefined) throw new Error('no preferred endpoint');
+  preferred.inFlight = 10;
+  const next = placement.choose(createRequest('p'), NOW_MS);
+  expect(next?.cacheSource).toBe(preferred);
+  expect(placement.choose(createRequest('p'), NOW_MS)?.cacheSource).toBeUndefined();
 });
 
-test('the prompts of a leaving endpoint are taken from it', () => {
+test('a leaving endpoint is the cache source of its prompts', () => {
   const { table, rows } = createTable(6);
   const placement = createPlacement(table);
-  const home = placement.choose(ask('p'), NOW_MS)?.row;
-  if (home === undefined) throw new Error('no home');
-  table.upsert({ ...home.listing, state: 'leaving' }, NOW_MS);
-  const choice = placement.choose(ask('p'), NOW_MS);
-  expect(choice?.row).not.toBe(home);
-  expect(choice?.cacheSource).toBe(home);
+  const preferred = placement.choose(createRequest('p'), NOW_MS)?.row;
+  if (preferred === undefined) throw new Error('no preferred endpoint');
+  table.upsert({ ...preferred.listing, state: 'leaving' }, NOW_MS);
+  const choice = placement.choose(createRequest('p'), NOW_MS);
+  expect(choice?.row).not.toBe(preferred);
+  expect(choice?.cacheSource).toBe(preferred);
   expect(rows.length).toBe(6);
 });
 
-test('nothing is taken from an endpoint that cannot be reached', () => {
+test('an unreachable endpoint is never a cache source', () => {
   const { table } = createTable(6);
   const placement = createPlacement(table);
-  const home = placement.choose(ask('p'), NOW_MS)?.row;
-  if (home === undefined) throw new Error('no home');
-  home.health = { type: 'unreachable', isProcessGone: false, nextCheckMs: NOW_MS };
-  const choice = placement.choose(ask('p'), NOW_MS);
-  expect(choice?.row).not.toBe(home);
+  const preferred = placement.choose(createRequest('p'), NOW_MS)?.row;
+  if (preferred === undefined) throw new Error('no preferred endpoint');
+  preferred.health = { type: 'unreachable', isProcessGone: false, nextCheckMs: NOW_MS };
+  const choice = placement.choose(createRequest('p'), NOW_MS);
+  expect(choice?.row).not.toBe(preferred);
   expect(choice?.cacheSource).toBeUndefined();
 });
 
-test('a plain request goes to the least loaded endpoint, its own hall first', () => {
+test('a plain request goes to the least loaded endpoint, with the own hall preferred', () => {
   const { table } = createTable(0);
   const near = table.upsert(createListing('near'), 0);
   const far = table.upsert(createListing('far', { hall: 'b' }), 0);
   const placement = createPlacement(table);
-  const plain = { service: 'llm', promptParts: [], excluded: noneExcluded };
+  const plain = { service: 'llm', promptParts: [], excluded: noExclusions };
   expect(placement.choose(plain, NOW_MS)?.row).toBe(near);
   near.inFlight = 6;
   expect(placement.choose(plain, NOW_MS)?.row).toBe(far);
 });
 
-test('a hot prompt is spread over the first endpoints of its order, and its holders are told once', () => {
+test('a hot prompt is spread over the first endpoints of its ranking, and its holders are reported once', () => {
   const { table } = createTable(12);
-  const homes = new PromptHolders();
+  const promptHolders = new PromptHolders();
   const demand = new PromptDemand();
   const random = createRandom(3);
-  const placement = createPlacement(table, homes, { demand, random });
-  placement.choose(ask('p'), NOW_MS);
+  const placement = createPlacement(table, promptHolders, { demand, random });
+  placement.choose(createRequest('p'), NOW_MS);
   const [key = 0] = demand.takeCounts();
   demand.setHotPrompts([key, 8], NOW_MS);
   const order: string[] = [];
   for (const excluded = new Set<string>(); order.length < 4;) {
-    const row = createPlacement(table).choose({ ...ask('p'), excluded }, NOW_MS)?.row;
+    const row = createPlacement(table).choose({ ...createRequest('p'), excluded }, NOW_MS)?.row;
     excluded.add(row?.listing.id ?? '');
     order.push(row?.listing.id ?? '');
   }
-  const choices = Array.from({ length: 400 }, () => placement.choose(ask('p'), NOW_MS));
+  const choices = Array.from({ length: 400 }, () => placement.choose(createRequest('p'), NOW_MS));
   expect(new Set(choices.map((choice) => choice?.way))).toEqual(new Set(['hot']));
   expect(new Set(choices.map((choice) => choice?.row.listing.id))).toEqual(new Set(order));
-  expect(homes.takeUnsent(100).length).toBeLessThanOrEqual(2 * 3);
+  expect(promptHolders.takeUnsent(100).length).toBeLessThanOrEqual(2 * 3);
 });
 
 /**
- * Seen with 24 real boxes, four endpoints and one prompt: many boxes asked at the same moment, and one endpoint got two
- * thirds of the requests, 12 to 22 of 17 to 30, while loads had hardly differed. Each box drew the emptier of two by
- * loads that all boxes knew alike, so that the emptiest got 7 of 16 requests however little emptier it was.
+ * Guards against overloading the least loaded endpoint when many boxes place a hot prompt at the same time. Each box used to
+ * choose the less loaded of two random endpoints by loads that were the same at all boxes, so that the least loaded endpoint
+ * got 7 of 16 requests, however small the difference was. With 24 real boxes, four endpoints and one prompt, one endpoint got
+ * two thirds of the requests, 12 to 22 of 17 to 30, while the loads hardly differed.
  */
-test('loads that differ little spread a hot prompt nearly evenly, loads that differ much empty the fullest', () => {
+test('a hot prompt is spread almost evenly at similar loads, and away from the fullest endpoint at different loads', () => {
   const { table, rows } = createTable(4);
   const demand = new PromptDemand();
   const placement = createPlacement(table, new PromptHolders(), { demand, random: createRandom(5) });
-  placement.choose(ask('p'), NOW_MS);
+  placement.choose(createRequest('p'), NOW_MS);
   const [key = 0] = demand.takeCounts();
   demand.setHotPrompts([key, 40], NOW_MS);
   const shareOf = (row: EndpointRow | undefined): number => {
-    const chosen = Array.from({ length: 4_000 }, () => placement.choose(ask('p'), NOW_MS)?.row);
-    return chosen.filter((one) => one === row).length / chosen.length;
+    const chosen = Array.from({ length: 4_000 }, () => placement.choose(createRequest('p'), NOW_MS)?.row);
+    return chosen.filter((candidate) => candidate === row).length / chosen.length;
   };
   rows.forEach((row, at) => (row.peersInFlight = at === 0 ? 9 : 10));
   expect(shareOf(rows[0])).toBeLessThan(0.3);
@@ -239,17 +254,18 @@
   expect(shareOf(rows[0])).toBeLessThan(0.15);
 });
 
-test('of what comes to a loaded endpoint of the own hall a part leaves, more if it holds more, and is spread', () => {
+test('a share of the requests leaves a loaded own hall, grows with the load and is spread over the others', () => {
   const { table } = createTable(0);
   const near = table.upsert(createListing('near'), 0);
   const far = ['b', 'c', 'd'].map((hall) => table.upsert(createListing(`far-${hall}`, { hall }), 0));
   const random = createRandom(1);
-  const countStaying = (held: number): number => {
-    near.peersInFlight = held;
+  const countStaying = (load: number): number => {
+    near.peersInFlight = load;
     const chosen = Array.from({ length: 1_000 }, () => choosePlainEndpoint([near, ...far], 'a', random));
     for (const row of far) {
-      const left = chosen.filter((one) => one !== near).length;
-      if (left > 0) expect(chosen.filter((one) => one === row).length / left).toBeCloseTo(1 / 3, 0);
+      const left = chosen.filter((candidate) => candidate !== near).length;
+      if (left > 0)
+        expect(chosen.filter((candidate) => candidate === row).length / left).toBeCloseTo(1 / 3, 0);
     }
     return chosen.filter((row) => row === near).length;
   };
@@ -260,7 +276,7 @@
   expect(countStaying(16)).toBeLessThan(150);
 });
 
-test('a fuller endpoint of another hall gets fewer of the requests that leave', () => {
+test('a more loaded endpoint of another hall gets fewer of the requests that leave the own hall', () => {
   const { table } = createTable(0);
   const near = table.upsert(createListing('near'), 0);
   const idle = ['b', 'c', 'd'].map((hall) => table.upsert(createListing(`idle-${hall}`, { hall }), 0));
@@ -275,7 +291,7 @@
   expect(toFull).toBeLessThan(120);
 });
 
-test('one endpoint takes every plain request, and none gives none', () => {
+test('a single endpoint gets every plain request, and without endpoints none is chosen', () => {
   const { table } = createTable(0);
   const only = table.upsert(createListing('only', { hall: 'b' }), 0);
   only.inFlight = 50;
@@ -283,7 +299,7 @@
   expect(choosePlainEndpoint([], 'a', () => 0.5)).toBeUndefined();
 });
 
-test('names of services and halls decide nothing', () => {
+test('the names of services and halls do not affect placement', () => {
   const decide = (service: string, halls: readonly [string, string]): string[] => {
     const { table } = createTable(0);
     for (let at = 0; at < 12; at += 1) {
@@ -291,7 +307,8 @@
     }
     const placement = createPlacementOf(hasher, table, { hall: halls[0] ?? '' });
     return Array.from({ length: 200 }, (_, at) => {
-      const request = at % 3 === 0 ? { ...ask('p'), promptParts: [] } : ask(`p${at % 17}`);
+      const request =
+        at % 3 === 0 ? { ...createRequest('p'), promptParts: [] } : createRequest(`p${at % 17}`);
       const choice = placement.choose({ ...request, service }, NOW_MS);
       if (choice !== undefined) choice.row.inFlight += 1;
       return `${choice?.row.listing.id} from ${choice?.cacheSource?.listing.id}`;
