--- a/packages/router/src/__fixtures__/restingBox.ts
+++ b/packages/router/src/__fixtures__/passiveBox.ts
@@ -1,4 +1,4 @@
-/** One box of a fleet of 40 with its relay of what is published, on a clock and links of the test's own. */
+/** A box of a fleet of 40 with its feed relay and published state. The test controls its clock and its links. */
 import { Ok } from '@hazelwalk/core';
 import { DecisionLog } from '../observability/decisionLog.js';
 import { RouterMetrics } from '../observability/metrics.js';
@@ -13,17 +13,22 @@
 import { EndpointTable } from '../tables/endpointTable.js';
 import { createListing } from './createEndpoints.js';
 
-export const BOUND_MS = 3_000;
-/** After the first answer of the platform a box takes vanished entries for lapsed ones; after this for gone ones. */
-const SETTLED_MS = 2_100;
-export const FOLLOWER = '10.0.0.2:1';
+/** Time in which a change of the platform has to be in force. */
+export const APPLY_BOUND_MS = 3_000;
+/**
+ * Longer than the grace period after the platform's first response, during which a box keeps entries that disappear as lapsed.
+ */
+const AFTER_GRACE_PERIOD_MS = 2_100;
+/** Address of the watcher that sends notices to the box. */
+export const WATCHER = '10.0.0.2:1';
 
-/** Hashes an address to the number behind its last dot, so that the rank of a box is what its address says. */
-const rankOf = (address: string): number => Number(address.split('.')[3]?.split(':')[0] ?? 0);
+/** Hashes an address to the last number of its IP address, so that a test chooses the rank of a box by its address. */
+const hashLastNumber = (address: string): number => Number(address.split('.')[3]?.split(':')[0] ?? 0);
 
-export const listed = (id: string): ListedEndpoint => createListing(id, { service: 'app', hall: 'mixco' });
+export const createAppListing = (id: string): ListedEndpoint =>
+  createListing(id, { service: 'app', hall: 'mixco' });
 
-export const heartbeatOf = (address: string, changes: Partial<Heartbeat> = {}): Heartbeat => ({
+export const createHeartbeat = (address: string, changes: Partial<Heartbeat> = {}): Heartbeat => ({
   type: 'heartbeat',
   hall: 'mixco',
   feed: 'able',
@@ -40,9 +45,9 @@
   ...changes,
 });
 
-export const notice = (changes: Partial<FeedNotice> = {}): FeedNotice => ({
+export const createNotice = (changes: Partial<FeedNotice> = {}): FeedNotice => ({
   type: 'feedNotice',
-  address: FOLLOWER,
+  address: WATCHER,
   from: 10,
   revision: 10,
   era: 0,
@@ -55,26 +60,26 @@
   ...changes,
 });
 
-/** Any hash will do that tells texts apart. */
+/** Any hash that distinguishes the texts of the tests is sufficient. */
 const hashText = (text: string): number =>
   [...text].reduce((sum, letter) => (sum * 31 + letter.charCodeAt(0)) >>> 0, 7);
 
-/** One box of a fleet of 40, third in its hall, on a clock and links of the test's own. */
+/** A box of a fleet of 40, by default the third in its hall and therefore passive. */
 export class TestBox {
   nowMs = 100_000;
-  linked = [heartbeatOf('10.0.0.1:1'), heartbeatOf(FOLLOWER)];
+  reachablePeers = [createHeartbeat('10.0.0.1:1'), createHeartbeat(WATCHER)];
   readonly sent: { to: string; frame: PeerFrame }[] = [];
   readonly metrics = new RouterMetrics();
   readonly state: PublishedState;
   readonly relay: FeedRelay;
-  readonly values: PeerValueSync;
+  readonly valueSync: PeerValueSync;
 
-  /** @param readVersion reads the version that a configuration's text stands for */
+  /** @param readVersion parses the version from a configuration's text */
   constructor(address = '10.0.0.3:1', readVersion: (text: string) => number = Number) {
     const mesh = {
       address,
       countBoxes: () => 40,
-      listReachable: () => this.linked,
+      listReachable: () => this.reachablePeers,
       send: (to: string, frame: PeerFrame) => void this.sent.push({ to, frame }),
       sendToHall: (to: string, frame: PeerFrame) => void this.sent.push({ to, frame }),
     } as unknown as PeerMesh;
@@ -92,21 +97,22 @@
       onEndpointRemoved: () => {},
       onInitialized: () => {},
     });
-    const options = { mesh, state: this.state, log, now, applyBoundMs: BOUND_MS };
-    this.values = new PeerValueSync(options);
+    const options = { mesh, state: this.state, log, now, applyBoundMs: APPLY_BOUND_MS };
+    this.valueSync = new PeerValueSync(options);
     this.relay = new FeedRelay({
       ...options,
-      valueSync: this.values,
+      valueSync: this.valueSync,
       hall: 'mixco',
       linkMbps: 1_000,
-      hash: rankOf,
+      hash: hashLastNumber,
     });
     this.publish(undefined, 10, '1');
-    this.nowMs += SETTLED_MS;
+    this.nowMs += AFTER_GRACE_PERIOD_MS;
   }
 
+  /** Applies a publication of the platform that lists one endpoint, named after the revision, and announces it. */
   publish(from: number | undefined, revision: number, configurationText?: string): void {
-    const change = { type: 'listed', endpoint: listed(`e-${revision}`) } as const;
+    const change = { type: 'listed', endpoint: createAppListing(`e-${revision}`) } as const;
     const publication = {
       from,
       revision,
@@ -123,7 +129,7 @@
   }
 }
 
-/** Takes over changes of the list of endpoints alone. */
+/** Applies changes to the list of endpoints only. */
 export function applyEndpoints(
   state: PublishedState,
   endpointChanges: readonly EndpointChange[],
@@ -137,7 +143,7 @@
   );
 }
 
-/** Each version adds a team; every hundredth adds more of them than a notice holds. */
+/** Creates a configuration: each version adds a team, and every hundredth adds more teams than fit into a notice. */
 export function createConfiguration(version: number): FleetConfiguration {
   const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
   const count = version + 1_000 * Math.floor(version / 100);
--- a/packages/router/src/__fixtures__/relayBox.ts
+++ b/packages/router/src/__fixtures__/relayBox.ts
@@ -1,4 +1,4 @@
-/** A box that spreads loads, with a mesh of its own that keeps what is sent. */
+/** A box with a load relay whose mesh records the frames that it sends. */
 import type { LoadViewStatus } from '../peers/loadRelay.js';
 import { LoadRelay } from '../peers/loadRelay.js';
 import type { Heartbeat, PeerFrame } from '../peers/peerFrames.js';
@@ -7,26 +7,26 @@
 import { PromptHolders } from '../systems/promptHolders.js';
 import { EndpointTable } from '../tables/endpointTable.js';
 import { createListing } from './createEndpoints.js';
-import { heartbeatOf as createHeartbeat } from './restingBox.js';
+import { createHeartbeat } from './passiveBox.js';
 
-/** Of the only endpoint. */
-export const TAG = 77;
+/** Tag of the only endpoint. */
+export const ENDPOINT_TAG = 77;
 const endpoint = createListing('e-1');
 
-/** A heartbeat of a box that holds so many requests at the endpoint. */
-export const heartbeatOf = (address: string, hall: string, requests: number): Heartbeat =>
-  createHeartbeat(address, { hall, loads: requests === 0 ? [] : [TAG, requests] });
+/** Creates the heartbeat of a box with this number of requests in flight at the endpoint. */
+export const createLoadHeartbeat = (address: string, hall: string, requests: number): Heartbeat =>
+  createHeartbeat(address, { hall, loads: requests === 0 ? [] : [ENDPOINT_TAG, requests] });
 
-/** One box of the hall mixco in a fleet of two halls; its address ranks it. */
+/** A box of the hall `mixco` in a fleet of two halls; its rank is its numeric address. */
 export class TestBox {
   nowMs = 10_000;
   peers: Heartbeat[] = [];
   readonly sent: { to: string; frame: PeerFrame }[] = [];
-  readonly table = new EndpointTable(() => TAG);
-  readonly homes = new PromptHolders();
+  readonly table = new EndpointTable(() => ENDPOINT_TAG);
+  readonly promptHolders = new PromptHolders();
   readonly demand = new PromptDemand();
   readonly relay: LoadRelay;
-  readonly knowledge: LoadViewStatus[] = [];
+  readonly viewStatuses: LoadViewStatus[] = [];
 
   constructor(
     readonly address: string,
@@ -47,21 +47,22 @@
     this.relay = new LoadRelay({
       mesh,
       table: this.table,
-      promptHolders: this.homes,
+      promptHolders: this.promptHolders,
       demand: this.demand,
       hall: 'mixco',
       hash: (text) => Number(text),
       random,
       now: () => this.nowMs,
-      onViewStatus: (knowledge) => this.knowledge.push(knowledge),
+      onViewStatus: (status) => this.viewStatuses.push(status),
     });
   }
 
+  /** Requests of other boxes at the endpoint, as the box knows them; -1 if the endpoint is not in the table. */
   get peersInFlight(): number {
     return this.table.byId.get(endpoint.id)?.peersInFlight ?? -1;
   }
 
-  setOwn(requests: number): void {
+  setLocalLoad(requests: number): void {
     this.table.byId.get(endpoint.id)!.inFlight = requests;
   }
 
@@ -70,7 +71,8 @@
     this.relay.tick();
   }
 
-  listSent(type: PeerFrame['type']): string[] {
+  /** Lists the recipients of the sent frames of a type. */
+  listRecipients(type: PeerFrame['type']): string[] {
     return this.sent.filter(({ frame }) => frame.type === type).map(({ to }) => to);
   }
 }
--- a/packages/router/src/__tests__/loadRelay.test.ts
+++ b/packages/router/src/__tests__/loadRelay.test.ts
@@ -1,92 +1,119 @@
 import { createRandom } from '@hazelwalk/standins';
-import { heartbeatOf, TAG, TestBox } from '../__fixtures__/relayBox.js';
+import { createLoadHeartbeat, ENDPOINT_TAG, TestBox } from '../__fixtures__/relayBox.js';
 import type { Heartbeat } from '../peers/peerFrames.js';
 import { subtractLoads } from '../systems/loadExchange.js';
 import { addPairs } from '../systems/pairList.js';
 
-const hallOf = (...addresses: string[]): Heartbeat[] => addresses.map((one) => heartbeatOf(one, 'mixco', 0));
-const othersOf = (...addresses: string[]): Heartbeat[] =>
-  addresses.map((one) => heartbeatOf(one, 'antigua', 0));
+/** Creates heartbeats of idle boxes of the own hall. */
+const createHallPeers = (...addresses: string[]): Heartbeat[] =>
+  addresses.map((address) => createLoadHeartbeat(address, 'mixco', 0));
+/** Creates heartbeats of idle boxes of another hall. */
+const createOtherHallPeers = (...addresses: string[]): Heartbeat[] =>
+  addresses.map((address) => createLoadHeartbeat(address, 'antigua', 0));
 
-test('adds and subtracts loads endpoint by endpoint', () => {
+test('loads are added and subtracted by endpoint', () => {
   expect(addPairs([[7, 2], [7, 1, 9, 4], []])).toEqual([7, 3, 9, 4]);
   expect(subtractLoads([7, 3, 9, 4], [7, 5, 9, 1])).toEqual([9, 3]);
 });
 
 test('in a small fleet heartbeats carry the loads', () => {
   const box = new TestBox('5', true);
-  box.peers = [heartbeatOf('1', 'mixco', 2), heartbeatOf('9', 'antigua', 3)];
+  box.peers = [createLoadHeartbeat('1', 'mixco', 2), createLoadHeartbeat('9', 'antigua', 3)];
   box.tick();
   expect(box.peersInFlight).toBe(5);
   expect(box.sent).toEqual([]);
 });
 
-test('a box tells its loads to the first two of its hall and to nobody else', () => {
+test('a box sends its loads only to the two aggregators of its hall', () => {
   const box = new TestBox('5');
-  box.peers = [...hallOf('1', '2', '3'), ...othersOf('7', '8')];
-  box.setOwn(2);
+  box.peers = [...createHallPeers('1', '2', '3'), ...createOtherHallPeers('7', '8')];
+  box.setLocalLoad(2);
   box.tick();
   expect(box.sent).toEqual(
     ['1', '2'].map((to) => ({
       to,
-      frame: { type: 'boxLoads', address: '5', loads: [TAG, 2], homes: [], prompts: [] },
+      frame: { type: 'boxLoads', address: '5', loads: [ENDPOINT_TAG, 2], homes: [], prompts: [] },
     })),
   );
 });
 
-test('a box takes the sum of the fleet without what it told itself', () => {
+test('a box subtracts its own reported loads from the aggregate of the fleet', () => {
   const box = new TestBox('5');
-  box.peers = hallOf('1', '2');
-  box.setOwn(2);
+  box.peers = createHallPeers('1', '2');
+  box.setLocalLoad(2);
   box.tick();
-  box.setOwn(3);
-  box.relay.handleFleetLoads({ type: 'fleetLoads', loads: [TAG, 9], homes: [], prompts: [], passTo: [] });
+  box.setLocalLoad(3);
+  box.relay.handleFleetLoads({
+    type: 'fleetLoads',
+    loads: [ENDPOINT_TAG, 9],
+    homes: [],
+    prompts: [],
+    passTo: [],
+  });
   expect(box.peersInFlight).toBe(7);
 });
 
-test('a sum that is not renewed counts for nothing after a while', () => {
+test('an aggregate that is not renewed expires', () => {
   const box = new TestBox('5');
-  box.peers = hallOf('1', '2');
-  box.relay.handleFleetLoads({ type: 'fleetLoads', loads: [TAG, 9], homes: [], prompts: [], passTo: [] });
+  box.peers = createHallPeers('1', '2');
+  box.relay.handleFleetLoads({
+    type: 'fleetLoads',
+    loads: [ENDPOINT_TAG, 9],
+    homes: [],
+    prompts: [],
+    passTo: [],
+  });
   for (let count = 0; count < 7; count += 1) box.tick();
   expect(box.peersInFlight).toBe(0);
 });
 
-test('the first box of a hall tells the other halls what its hall has, and its hall what the fleet has', () => {
+test('the aggregator sends the loads of its hall to other halls, and those of the fleet to its hall', () => {
   const box = new TestBox('1');
-  box.peers = [...hallOf('2', '3'), ...othersOf('7', '8', '9')];
-  box.setOwn(1);
-  box.relay.handleBoxLoads({ type: 'boxLoads', address: '2', loads: [TAG, 3], homes: [], prompts: [] });
-  box.relay.handleBoxLoads({ type: 'boxLoads', address: '3', loads: [TAG, 2], homes: [], prompts: [] });
+  box.peers = [...createHallPeers('2', '3'), ...createOtherHallPeers('7', '8', '9')];
+  box.setLocalLoad(1);
+  box.relay.handleBoxLoads({
+    type: 'boxLoads',
+    address: '2',
+    loads: [ENDPOINT_TAG, 3],
+    homes: [],
+    prompts: [],
+  });
+  box.relay.handleBoxLoads({
+    type: 'boxLoads',
+    address: '3',
+    loads: [ENDPOINT_TAG, 2],
+    homes: [],
+    prompts: [],
+  });
   box.relay.handleHallLoads({
     type: 'hallLoads',
     hall: 'antigua',
-    loads: [TAG, 10],
+    loads: [ENDPOINT_TAG, 10],
     coverage: { boxes: 3, ageMs: 200 },
     homes: [],
     prompts: [],
   });
   box.tick();
   expect(box.peersInFlight).toBe(15);
-  expect(box.knowledge.at(-1)).toEqual({ extent: 'whole', boxes: 6, ageMs: 700 });
+  expect(box.viewStatuses.at(-1)).toEqual({ extent: 'whole', boxes: 6, ageMs: 700 });
   expect(box.sent).toContainEqual({
     to: '7',
     frame: {
       type: 'hallLoads',
       hall: 'mixco',
-      loads: [TAG, 6],
+      loads: [ENDPOINT_TAG, 6],
       coverage: { boxes: 3, ageMs: 500 },
       homes: [],
       prompts: [],
     },
   });
-  expect(box.listSent('hallLoads')).toEqual(['7', '8']);
+  expect(box.listRecipients('hallLoads')).toEqual(['7', '8']);
   for (const to of ['2', '3']) {
     expect(box.sent).toContainEqual({
       to,
       frame: {
         type: 'fleetLoads',
-        loads: [TAG, 16],
+        loads: [ENDPOINT_TAG, 16],
         coverage: { boxes: 6, ageMs: 700 },
         homes: [],
         prompts: [],
@@ -96,14 +123,14 @@
   }
 });
 
-test('a box says when the sum lacks boxes, and when there is none', () => {
+test('a box reports whether the aggregate is whole, partial or missing', () => {
   const box = new TestBox('5');
-  box.peers = [...hallOf('1', '2', '3'), ...othersOf('7', '8', '9')];
-  const hear = (boxes: number): void => {
+  box.peers = [...createHallPeers('1', '2', '3'), ...createOtherHallPeers('7', '8', '9')];
+  const receiveFleetLoads = (boxes: number): void => {
     const coverage = { boxes, ageMs: 300 };
     box.relay.handleFleetLoads({
       type: 'fleetLoads',
-      loads: [TAG, 9],
+      loads: [ENDPOINT_TAG, 9],
       coverage,
       homes: [],
       prompts: [],
@@ -111,88 +138,100 @@
     });
     box.tick();
   };
-  hear(7);
-  hear(4);
+  receiveFleetLoads(7);
+  receiveFleetLoads(4);
   for (let count = 0; count < 6; count += 1) box.tick();
-  hear(7);
+  receiveFleetLoads(7);
   expect(
-    box.knowledge.map(({ extent }) => extent).filter((extent, at, all) => extent !== all[at - 1]),
+    box.viewStatuses.map(({ extent }) => extent).filter((extent, at, all) => extent !== all[at - 1]),
   ).toEqual(['whole', 'partial', 'missing', 'whole']);
-  expect(box.knowledge.at(-1)).toEqual({ extent: 'whole', boxes: 7, ageMs: 800 });
+  expect(box.viewStatuses.at(-1)).toEqual({ extent: 'whole', boxes: 7, ageMs: 800 });
 });
 
-test('the second box of a hall speaks only while the first is not heard', () => {
+test('the second aggregator of a hall sends aggregates only while it receives none from the first', () => {
   const box = new TestBox('2');
-  box.peers = [...hallOf('1', '3'), ...othersOf('7')];
+  box.peers = [...createHallPeers('1', '3'), ...createOtherHallPeers('7')];
   box.relay.handleFleetLoads({ type: 'fleetLoads', loads: [], homes: [], prompts: [], passTo: [] });
   box.tick();
   box.tick();
-  expect(box.listSent('fleetLoads')).toEqual([]);
+  expect(box.listRecipients('fleetLoads')).toEqual([]);
   box.tick();
-  expect(box.listSent('fleetLoads')).toEqual(['1', '3']);
+  expect(box.listRecipients('fleetLoads')).toEqual(['1', '3']);
   box.relay.handleFleetLoads({ type: 'fleetLoads', loads: [], homes: [], prompts: [], passTo: [] });
   box.tick();
-  expect(box.listSent('fleetLoads')).toEqual(['1', '3']);
+  expect(box.listRecipients('fleetLoads')).toEqual(['1', '3']);
 });
 
-test('the loads of a box that fell silent leave the sum', () => {
+test('the loads of a box that went silent are removed from the aggregate', () => {
   const box = new TestBox('1');
-  box.peers = hallOf('2', '3');
-  box.relay.handleBoxLoads({ type: 'boxLoads', address: '2', loads: [TAG, 3], homes: [], prompts: [] });
+  box.peers = createHallPeers('2', '3');
+  box.relay.handleBoxLoads({
+    type: 'boxLoads',
+    address: '2',
+    loads: [ENDPOINT_TAG, 3],
+    homes: [],
+    prompts: [],
+  });
   for (let count = 0; count < 7; count += 1) box.tick();
   expect(box.peersInFlight).toBe(0);
 });
 
-test('homes of prompts reach the own hall and the other halls once, by the speakers', () => {
-  const speaker = new TestBox('1');
-  speaker.peers = [heartbeatOf('2', 'mixco', 0), heartbeatOf('9', 'antigua', 0)];
-  speaker.homes.record(5, TAG);
-  speaker.relay.handleBoxLoads({ type: 'boxLoads', address: '2', loads: [], homes: [6, TAG], prompts: [] });
-  speaker.relay.handleHallLoads({
+test('aggregators send prompt holders to the own hall and to the other halls once', () => {
+  const aggregator = new TestBox('1');
+  aggregator.peers = [createLoadHeartbeat('2', 'mixco', 0), createLoadHeartbeat('9', 'antigua', 0)];
+  aggregator.promptHolders.record(5, ENDPOINT_TAG);
+  aggregator.relay.handleBoxLoads({
+    type: 'boxLoads',
+    address: '2',
+    loads: [],
+    homes: [6, ENDPOINT_TAG],
+    prompts: [],
+  });
+  aggregator.relay.handleHallLoads({
     type: 'hallLoads',
     hall: 'antigua',
     loads: [],
-    homes: [7, TAG],
+    homes: [7, ENDPOINT_TAG],
     prompts: [],
   });
-  speaker.relay.tick();
+  aggregator.relay.tick();
   const read = (type: string): unknown => {
-    const found = speaker.sent.find(({ frame }) => frame.type === type)?.frame;
+    const found = aggregator.sent.find(({ frame }) => frame.type === type)?.frame;
     return found !== undefined && 'homes' in found ? found.homes : undefined;
   };
-  expect(read('hallLoads')).toEqual([6, TAG, 5, TAG]);
-  expect(read('fleetLoads')).toEqual([6, TAG, 7, TAG, 5, TAG]);
-  expect(speaker.homes.list(7)).toEqual([TAG]);
-  speaker.sent.length = 0;
-  speaker.nowMs += 1_000;
-  speaker.relay.tick();
+  expect(read('hallLoads')).toEqual([6, ENDPOINT_TAG, 5, ENDPOINT_TAG]);
+  expect(read('fleetLoads')).toEqual([6, ENDPOINT_TAG, 7, ENDPOINT_TAG, 5, ENDPOINT_TAG]);
+  expect(aggregator.promptHolders.list(7)).toEqual([ENDPOINT_TAG]);
+  aggregator.sent.length = 0;
+  aggregator.nowMs += 1_000;
+  aggregator.relay.tick();
   expect(read('hallLoads')).toEqual([]);
 });
 
-test('what boxes are asked for reaches the speakers of all halls, and what is hot every box', () => {
-  const speaker = new TestBox('1');
-  speaker.peers = [heartbeatOf('2', 'mixco', 0), heartbeatOf('9', 'antigua', 0)];
-  const ask = (times: number): void => {
-    for (let count = 0; count < times; count += 1) speaker.demand.recordRequest(5);
+test('prompt demand is sent to the aggregators of all halls, and hot prompts to every box', () => {
+  const aggregator = new TestBox('1');
+  aggregator.peers = [createLoadHeartbeat('2', 'mixco', 0), createLoadHeartbeat('9', 'antigua', 0)];
+  const recordRequests = (times: number): void => {
+    for (let count = 0; count < times; count += 1) aggregator.demand.recordRequest(5);
   };
-  ask(2);
-  speaker.relay.handleBoxLoads({
+  recordRequests(2);
+  aggregator.relay.handleBoxLoads({
     type: 'boxLoads',
     address: '2',
     loads: [],
     homes: [],
     prompts: [5, 1, 6, 1, 8, 2],
   });
-  speaker.relay.handleHallLoads({
+  aggregator.relay.handleHallLoads({
     type: 'hallLoads',
     hall: 'antigua',
     loads: [],
     homes: [],
     prompts: [5, 4],
   });
-  speaker.tick();
+  aggregator.tick();
   const read = (type: string): unknown => {
-    const found = speaker.sent.find(({ frame }) => frame.type === type)?.frame;
+    const found = aggregator.sent.find(({ frame }) => frame.type === type)?.frame;
     return found !== undefined && 'prompts' in found ? found.prompts : undefined;
   };
   expect(read('hallLoads')).toEqual([5, 3, 8, 2]);
@@ -203,48 +242,48 @@
   expect(box.demand.readSpreadWidth(6, box.nowMs, 0)).toBe(1);
 });
 
-test('a speaker tells of a prompt that becomes hot at once, and once between two of its sums', () => {
-  const speaker = new TestBox('1');
-  speaker.peers = [heartbeatOf('5', 'mixco', 0), heartbeatOf('6', 'antigua', 0)];
-  speaker.tick();
-  speaker.sent.length = 0;
-  const ask = (prompt: number, count: number): void =>
-    speaker.relay.handleBoxLoads({
+test('an aggregator reports a newly hot prompt at once, but only once between two aggregates', () => {
+  const aggregator = new TestBox('1');
+  aggregator.peers = [createLoadHeartbeat('5', 'mixco', 0), createLoadHeartbeat('6', 'antigua', 0)];
+  aggregator.tick();
+  aggregator.sent.length = 0;
+  const reportDemand = (prompt: number, count: number): void =>
+    aggregator.relay.handleBoxLoads({
       type: 'boxLoads',
       address: '5',
       loads: [],
       homes: [],
       prompts: [prompt, count],
     });
-  ask(8, 5);
-  expect(speaker.sent).toEqual([]);
-  ask(8, 1);
-  expect(speaker.listSent('fleetLoads')).toEqual(['5']);
-  expect(speaker.listSent('hallLoads')).toEqual(['6']);
-  expect(speaker.sent.map(({ frame }) => 'prompts' in frame && frame.prompts)).toEqual([
+  reportDemand(8, 5);
+  expect(aggregator.sent).toEqual([]);
+  reportDemand(8, 1);
+  expect(aggregator.listRecipients('fleetLoads')).toEqual(['5']);
+  expect(aggregator.listRecipients('hallLoads')).toEqual(['6']);
+  expect(aggregator.sent.map(({ frame }) => 'prompts' in frame && frame.prompts)).toEqual([
     [8, 6],
     [8, 6],
   ]);
-  ask(8, 9);
-  ask(9, 9);
-  expect(speaker.sent).toHaveLength(2);
-  speaker.tick();
-  expect(speaker.sent.length).toBeGreaterThan(2);
+  reportDemand(8, 9);
+  reportDemand(9, 9);
+  expect(aggregator.sent).toHaveLength(2);
+  aggregator.tick();
+  expect(aggregator.sent.length).toBeGreaterThan(2);
 });
 
-test('in a small fleet heartbeats tell what each box was asked for, once, and every box adds it up', () => {
+test('in a small fleet heartbeats carry the demand of each box once, and every box aggregates it', () => {
   const [box, other] = [new TestBox('5', true), new TestBox('6', true)];
   for (let count = 0; count < 5; count += 1) box.demand.recordRequest(7);
   expect(box.relay.takeDemandForHeartbeat()).toEqual([7, 5]);
   expect(box.relay.takeDemandForHeartbeat()).toBeUndefined();
   other.demand.recordRequest(7);
-  other.relay.handleHeartbeat({ ...heartbeatOf('5', 'mixco', 0), prompts: [7, 5] });
+  other.relay.handleHeartbeat({ ...createLoadHeartbeat('5', 'mixco', 0), prompts: [7, 5] });
   other.tick();
   expect(other.demand.readSpreadWidth(7, other.nowMs, 0)).toBe(3);
   expect(other.demand.readSpreadWidth(8, other.nowMs, 0)).toBe(1);
 });
 
-test('a box of a small fleet keeps no counts of demand, and of those for a heartbeat the last few', () => {
+test('a box of a small fleet clears its request counts each tick and keeps only the latest ones for a heartbeat', () => {
   const box = new TestBox('5', true);
   for (let prompt = 0; prompt < 1_000; prompt += 1) box.demand.recordRequest(prompt);
   box.tick();
@@ -256,61 +295,62 @@
   expect(box.relay.takeDemandForHeartbeat()?.length).toBeLessThanOrEqual(2 * 64);
 });
 
-/** A hall of boxes that reach each other, the first of them its speaker. */
+/** A hall whose boxes reach each other and whose first box is the aggregator. */
 class TestHall {
-  readonly sentBy = new Map<string, number>();
+  /** Highest number of frames that each box sent for one aggregate, by address. */
+  readonly maxSentBy = new Map<string, number>();
   private readonly boxes = new Map<string, TestBox>();
 
   constructor(
     size: number,
-    private readonly silent: ReadonlySet<string>,
+    private readonly unresponsive: ReadonlySet<string>,
   ) {
     const addresses = Array.from({ length: size }, (_, at) => String(at + 1));
     for (const address of addresses) {
       const box = new TestBox(address, false, createRandom(Number(address)));
-      box.peers = hallOf(...addresses.filter((other) => other !== address));
+      box.peers = createHallPeers(...addresses.filter((other) => other !== address));
       this.boxes.set(address, box);
     }
   }
 
-  /** The speaker tells its hall once. Returns who heard it. */
-  tell(): Set<string> {
-    const heard = new Set<string>();
-    const speaker = this.boxes.get('1')!;
-    speaker.tick();
-    const queue = [speaker];
+  /** Relays one aggregate of the aggregator through the hall. Returns the addresses of the boxes that received it. */
+  relayAggregate(): Set<string> {
+    const reached = new Set<string>();
+    const aggregator = this.boxes.get('1')!;
+    aggregator.tick();
+    const queue = [aggregator];
     for (let box = queue.shift(); box !== undefined; box = queue.shift()) {
       const frames = box.sent.splice(0).filter(({ frame }) => frame.type === 'fleetLoads');
-      this.sentBy.set(box.address, Math.max(frames.length, this.sentBy.get(box.address) ?? 0));
+      this.maxSentBy.set(box.address, Math.max(frames.length, this.maxSentBy.get(box.address) ?? 0));
       for (const { to, frame } of frames) {
-        const reader = this.boxes.get(to)!;
-        if (this.silent.has(to) || frame.type !== 'fleetLoads') continue;
-        expect(heard).not.toContain(to);
-        heard.add(to);
-        reader.relay.handleFleetLoads(frame);
-        queue.push(reader);
+        const recipient = this.boxes.get(to)!;
+        if (this.unresponsive.has(to) || frame.type !== 'fleetLoads') continue;
+        expect(reached).not.toContain(to);
+        reached.add(to);
+        recipient.relay.handleFleetLoads(frame);
+        queue.push(recipient);
       }
     }
-    return heard;
+    return reached;
   }
 }
 
 test.each([2, 6, 32, 80])(
-  'the sum reaches each of %d boxes once, and no box sends it to more than four',
+  'an aggregate reaches each of %d boxes once, and no box sends it to more than four',
   (size) => {
     const hall = new TestHall(size, new Set());
-    expect(hall.tell().size).toBe(size - 1);
-    expect(Math.max(...hall.sentBy.values())).toBeLessThanOrEqual(4);
+    expect(hall.relayAggregate().size).toBe(size - 1);
+    expect(Math.max(...hall.maxSentBy.values())).toBeLessThanOrEqual(4);
   },
 );
 
-test('boxes that do not pass on, and are not noticed yet, keep the sum from nobody for long', () => {
-  const silent = new Set(['5', '9', '14']);
-  const hall = new TestHall(32, silent);
-  const rounds = Array.from({ length: 6 }, () => hall.tell());
+test('undetected boxes that do not relay aggregates withhold them from no other box for long', () => {
+  const unresponsive = new Set(['5', '9', '14']);
+  const hall = new TestHall(32, unresponsive);
+  const rounds = Array.from({ length: 6 }, () => hall.relayAggregate());
   for (let address = 2; address <= 32; address += 1) {
-    if (silent.has(String(address))) continue;
-    // Six rounds take three seconds, after which a sum would count for nothing.
-    expect(rounds.filter((heard) => heard.has(String(address))).length).toBeGreaterThanOrEqual(2);
+    if (unresponsive.has(String(address))) continue;
+    // Six rounds take three seconds, after which an aggregate expires.
+    expect(rounds.filter((reached) => reached.has(String(address))).length).toBeGreaterThanOrEqual(2);
   }
 });
--- a/packages/router/src/__tests__/peerFrames.test.ts
+++ b/packages/router/src/__tests__/peerFrames.test.ts
@@ -1,15 +1,15 @@
-/** What boxes of different versions make of each other's frames about the platform. */
+/** Guards against incompatible frames between boxes of different versions. */
 import { Encoder } from 'cbor-x';
-import { heartbeatOf, listed } from '../__fixtures__/restingBox.js';
+import { createHeartbeat, createAppListing } from '../__fixtures__/passiveBox.js';
 import type { PeerFrame } from '../peers/peerFrames.js';
 import { encodePeerFrame, PeerFrameReader } from '../peers/peerFrameCodec.js';
 
-function read(packet: Buffer): PeerFrame | undefined {
+function decode(packet: Buffer): PeerFrame | undefined {
   const frames = new PeerFrameReader().push(packet);
   return frames.ok ? frames.val[0] : undefined;
 }
 
-/** A frame as a box writes it that knows no number for any field. */
+/** Encodes a frame like a box of a version that does not know numeric field keys. */
 function encodePlain(frame: object): Buffer {
   const payload = new Encoder({ useRecords: false, tagUint8Array: false }).encode(frame);
   const length = Buffer.alloc(4);
@@ -17,33 +17,33 @@
   return Buffer.concat([length, payload]);
 }
 
-test('the report on the platform arrives as it was said, and its absence as well', () => {
+test('a platform report survives encoding and decoding, and so does its absence', () => {
   const report = { doubtMs: 1_900, saidAgoMs: 700 };
-  expect(read(encodePeerFrame(heartbeatOf('10.0.0.1:1', { platformReport: report })))).toMatchObject({
+  expect(decode(encodePeerFrame(createHeartbeat('10.0.0.1:1', { platformReport: report })))).toMatchObject({
     platformReport: report,
   });
-  expect(read(encodePeerFrame(heartbeatOf('10.0.0.1:1')))).not.toHaveProperty('platformReport');
+  expect(decode(encodePeerFrame(createHeartbeat('10.0.0.1:1')))).not.toHaveProperty('platformReport');
 });
 
-test('a report from the future is no report', () => {
+test('a platform report with a negative age is rejected', () => {
   const report = { doubtMs: 0, saidAgoMs: -1 };
-  expect(read(encodePeerFrame(heartbeatOf('10.0.0.1:1', { platformReport: report })))).toBeUndefined();
+  expect(decode(encodePeerFrame(createHeartbeat('10.0.0.1:1', { platformReport: report })))).toBeUndefined();
 });
 
-test('a list of a box that does not tell what it keeps is read as a list without such endpoints', () => {
-  const list = { type: 'endpointsValue', revision: 9, endpoints: [listed('e-1')] };
-  expect(read(encodePlain(list))).toMatchObject({ ...list, lapsed: [], address: '' });
+test('a list without a field of lapsed endpoints is decoded as a list without lapsed endpoints', () => {
+  const list = { type: 'endpointsValue', revision: 9, endpoints: [createAppListing('e-1')] };
+  expect(decode(encodePlain(list))).toMatchObject({ ...list, lapsed: [], address: '' });
 });
 
-test('sums of loads of a box that tells neither what is in them nor what was asked for are read as such', () => {
-  const sum = { type: 'fleetLoads', loads: [7, 2], homes: [], passTo: [] };
-  const frame = read(encodePlain(sum));
-  expect(frame).toMatchObject({ ...sum, prompts: [] });
+test('an aggregate without coverage and demand is decoded without coverage and with no prompts', () => {
+  const aggregate = { type: 'fleetLoads', loads: [7, 2], homes: [], passTo: [] };
+  const frame = decode(encodePlain(aggregate));
+  expect(frame).toMatchObject({ ...aggregate, prompts: [] });
   expect(frame).not.toHaveProperty('coverage');
 });
 
-test('a sum says of how many boxes it is, how old the oldest are and what is hot', () => {
-  const sum: PeerFrame = {
+test('the coverage and the demand of an aggregate survive encoding and decoding', () => {
+  const aggregate: PeerFrame = {
     type: 'hallLoads',
     hall: 'mixco',
     loads: [7, 2],
@@ -51,14 +51,14 @@
     homes: [],
     prompts: [9, 6],
   };
-  expect(read(encodePeerFrame(sum))).toEqual(sum);
+  expect(decode(encodePeerFrame(aggregate))).toEqual(aggregate);
 });
 
 test.each([
-  ['a text', [7, 'x']],
-  ['no number', [7, Number.NaN]],
-  ['nothing', [7, null]],
-])('a frame with a list of numbers that holds %s is rejected', (_what, loads) => {
-  const sum = { type: 'fleetLoads', loads, homes: [], passTo: [] };
-  expect(read(encodePlain(sum))).toBeUndefined();
+  ['a string', [7, 'x']],
+  ['NaN', [7, Number.NaN]],
+  ['null', [7, null]],
+])('a frame with a list of numbers that contains %s is rejected', (_what, loads) => {
+  const aggregate = { type: 'fleetLoads', loads, homes: [], passTo: [] };
+  expect(decode(encodePlain(aggregate))).toBeUndefined();
 });
--- a/packages/router/src/__tests__/restoredPlatform.test.ts
+++ b/packages/router/src/__tests__/restoredPlatform.test.ts
@@ -1,5 +1,11 @@
 /** Guards against ordering lists by revision alone after a restore from a backup, which resets the revision. */
-import { FOLLOWER, heartbeatOf, listed, notice, TestBox } from '../__fixtures__/restingBox.js';
+import {
+  WATCHER,
+  createHeartbeat,
+  createAppListing,
+  createNotice,
+  TestBox,
+} from '../__fixtures__/passiveBox.js';
 import type { EndpointsValue } from '../peers/peerFrames.js';
 import type { ListedEndpoint } from '../records.js';
 import { comparePositions } from '../systems/listPosition.js';
@@ -24,7 +30,7 @@
   revision,
   endpoints,
   lapsed: [],
-  address: FOLLOWER,
+  address: WATCHER,
   platformReport: undefined,
   ...changes,
 });
@@ -57,53 +63,57 @@
 
 describe('a list of a later era', () => {
   test('is applied despite its lower revision, and lists of earlier eras are ignored', () => {
-    applyFullRead(box, 1, 4, [listed('e-new')]);
+    applyFullRead(box, 1, 4, [createAppListing('e-new')]);
     expect(box.state.listPosition).toEqual({ era: 1, revision: 4 });
     expect(box.listIds()).toContain('e-new');
-    box.values.applyEndpointsValue(createEndpointsValue(0, 90, [listed('e-old')]));
-    box.relay.handleNotice(notice({ from: 4, revision: 91, changes: [{ type: 'removed', id: 'e-new' }] }));
+    box.valueSync.applyEndpointsValue(createEndpointsValue(0, 90, [createAppListing('e-old')]));
+    box.relay.handleNotice(
+      createNotice({ from: 4, revision: 91, changes: [{ type: 'removed', id: 'e-new' }] }),
+    );
     expect(box.listIds()).toContain('e-new');
     expect(box.listIds()).not.toContain('e-old');
   });
 
-  test('is requested immediately from a follower or another peer that has it', () => {
-    box.relay.handleNotice(notice({ era: 1, from: 4, revision: 4 }));
+  test('is requested immediately from a watcher or another peer that has it', () => {
+    box.relay.handleNotice(createNotice({ era: 1, from: 4, revision: 4 }));
     expect(listValueRequests()).toMatchObject([{ value: 'endpoints' }]);
     box.nowMs += 500;
-    box.values.handleHeartbeat(heartbeatOf(PEER, { era: 1, endpointsRevision: 4 }));
+    box.valueSync.handleHeartbeat(createHeartbeat(PEER, { era: 1, endpointsRevision: 4 }));
     expect(listValueRequests().length).toBe(2);
-    box.values.applyEndpointsValue(createEndpointsValue(1, 4, [listed('e-10'), listed('e-new')]));
+    box.valueSync.applyEndpointsValue(
+      createEndpointsValue(1, 4, [createAppListing('e-10'), createAppListing('e-new')]),
+    );
     expect(box.state.listPosition).toEqual({ era: 1, revision: 4 });
     expect(box.listIds()).toContain('e-new');
   });
 
-  test('is not mixed with a late answer of an earlier era, which is announced under that era', () => {
-    const follower = new TestBox('10.0.0.0:1');
-    applyFullRead(follower, 3, 4, [listed('e-10')]);
-    follower.sent.length = 0;
-    const change = { type: 'listed', endpoint: listed('e-old') } as const;
+  test('is not mixed with a late response of an earlier era, which is announced under that era', () => {
+    const watcher = new TestBox('10.0.0.0:1');
+    applyFullRead(watcher, 3, 4, [createAppListing('e-10')]);
+    watcher.sent.length = 0;
+    const change = { type: 'listed', endpoint: createAppListing('e-old') } as const;
     const late = { from: 10, revision: 12, era: 2, endpointChanges: [change], evacuationChanges: [] };
-    follower.relay.announce(follower.state.applyPublication({ ...late, configurationText: undefined }));
-    expect(follower.listIds()).not.toContain('e-old');
-    expect(follower.sent).toMatchObject([{ frame: { era: 2, from: 10, revision: 12 } }]);
+    watcher.relay.announce(watcher.state.applyPublication({ ...late, configurationText: undefined }));
+    expect(watcher.listIds()).not.toContain('e-old');
+    expect(watcher.sent).toMatchObject([{ frame: { era: 2, from: 10, revision: 12 } }]);
   });
 
   test('is announced to the hall without a difference to the previous era', () => {
-    const follower = new TestBox('10.0.0.0:1');
-    follower.sent.length = 0;
-    applyFullRead(follower, 3, 4, [listed('e-10')]);
-    expect(follower.sent).toMatchObject([{ frame: { era: 3, from: 4, revision: 4, changes: [] } }]);
+    const watcher = new TestBox('10.0.0.0:1');
+    watcher.sent.length = 0;
+    applyFullRead(watcher, 3, 4, [createAppListing('e-10')]);
+    expect(watcher.sent).toMatchObject([{ frame: { era: 3, from: 4, revision: 4, changes: [] } }]);
   });
 
-  test('is not confirmed by followers of an earlier era', () => {
-    applyFullRead(box, 1, 20, [listed('e-10')]);
+  test('is not confirmed by watchers of an earlier era', () => {
+    applyFullRead(box, 1, 20, [createAppListing('e-10')]);
     box.nowMs += 3_000;
-    box.relay.handleNotice(notice({ from: 20, revision: 20 }));
+    box.relay.handleNotice(createNotice({ from: 20, revision: 20 }));
     expect(box.relay.decideRole().type).toBe('follow');
   });
 
   test('retains endpoints missing from the backup for two seconds', () => {
-    applyFullRead(box, 1, 4, [listed('e-new')]);
+    applyFullRead(box, 1, 4, [createAppListing('e-new')]);
     box.nowMs += 1_900;
     box.state.tick(box.nowMs);
     expect(box.listIds()).toContain('e-10');
@@ -114,12 +124,15 @@
 
   test('does not reinstate removed or leaving endpoints until their entries are rewritten or screening ends', () => {
     applyFullRead(box, 0, 11, [
-      listed('e-10'),
-      listed('e-gone'),
-      { ...listed('e-leaving'), state: 'leaving' },
+      createAppListing('e-10'),
+      createAppListing('e-gone'),
+      { ...createAppListing('e-leaving'), state: 'leaving' },
+    ]);
+    applyFullRead(box, 0, 12, [
+      createAppListing('e-10'),
+      { ...createAppListing('e-leaving'), state: 'leaving' },
     ]);
-    applyFullRead(box, 0, 12, [listed('e-10'), { ...listed('e-leaving'), state: 'leaving' }]);
-    const backup = [listed('e-10'), listed('e-gone'), listed('e-leaving')];
+    const backup = [createAppListing('e-10'), createAppListing('e-gone'), createAppListing('e-leaving')];
     const readState = (id: string): string | undefined =>
       box.state.listEndpoints().find((endpoint) => endpoint.id === id)?.state;
     applyFullRead(box, 1, 8, backup);
@@ -128,7 +141,12 @@
     expect([readState('e-gone'), readState('e-leaving')]).toEqual([undefined, 'leaving']);
     box.publish(7, 9);
     box.relay.handleNotice(
-      notice({ era: 2, from: 9, revision: 10, changes: [{ type: 'listed', endpoint: listed('e-gone') }] }),
+      createNotice({
+        era: 2,
+        from: 9,
+        revision: 10,
+        changes: [{ type: 'listed', endpoint: createAppListing('e-gone') }],
+      }),
     );
     expect([readState('e-gone'), readState('e-leaving')]).toEqual(['live', 'leaving']);
     box.nowMs += 6_100;
@@ -138,11 +156,11 @@
 });
 
 test('an endpoint removed and listed again before the restore is not screened', () => {
-  applyFullRead(box, 0, 11, [listed('e-10'), listed('e-back')]);
-  applyFullRead(box, 0, 12, [listed('e-10')]);
+  applyFullRead(box, 0, 11, [createAppListing('e-10'), createAppListing('e-back')]);
+  applyFullRead(box, 0, 12, [createAppListing('e-10')]);
   expect(box.listIds()).not.toContain('e-back');
-  applyFullRead(box, 0, 13, [listed('e-10'), listed('e-back')]);
-  applyFullRead(box, 1, 9, [listed('e-10'), listed('e-back')]);
+  applyFullRead(box, 0, 13, [createAppListing('e-10'), createAppListing('e-back')]);
+  applyFullRead(box, 1, 9, [createAppListing('e-10'), createAppListing('e-back')]);
   box.nowMs += 2_100;
   box.state.tick(box.nowMs);
   expect(box.listIds()).toContain('e-back');
@@ -153,7 +171,7 @@
   entries.recordRemoval('e-1', 0);
   entries.recordRemoval('e-2', 59_000);
   entries.handleRestore([], () => false, 60_500);
-  const endpoints = [listed('e-1'), listed('e-2')];
+  const endpoints = [createAppListing('e-1'), createAppListing('e-2')];
   expect(entries.screen(endpoints, 60_500).map(({ id }) => id)).toEqual(['e-1']);
   expect(entries.screen(endpoints, 67_000)).toEqual(endpoints);
 });
