--- a/packages/router/src/__tests__/attempt.test.ts
+++ b/packages/router/src/__tests__/attempt.test.ts
@@ -1,4 +1,4 @@
-/** Guards against sending requests that their endpoint no longer accepts, or that their caller no longer waits for. */
+/** Guards against sending requests that the endpoint no longer accepts or that the caller no longer waits for. */
 import { Ok } from '@hazelwalk/core';
 import { createTable } from '../__fixtures__/createEndpoints.js';
 import { Attempt } from '../proxy/attempt.js';
@@ -32,8 +32,8 @@
 );
 
 test.each(['callerLeft', 'deadlinePassed'] as const)(
-  'an attempt takes no connection if its request is of no use any more: %s',
-  async (obstacle) => {
+  'an attempt acquires no connection if its request is obsolete: %s',
+  async (abortReason) => {
     const [row] = createTable(1).rows;
     if (row === undefined) throw new Error('no row');
     const events: AttemptEvent[] = [];
@@ -41,11 +41,11 @@
     const options: Partial<AttemptOptions> = {
       row,
       connections: { acquire } as unknown as EndpointConnections,
-      findAbortReason: () => obstacle,
+      findAbortReason: () => abortReason,
       onEvent: (_attempt, event) => events.push(event),
     };
     await new Attempt(options as AttemptOptions).start();
-    expect(events).toEqual([{ type: 'unsent', reason: obstacle }]);
+    expect(events).toEqual([{ type: 'unsent', reason: abortReason }]);
     expect(acquire).not.toHaveBeenCalled();
     expect(row.inFlight).toBe(0);
   },
--- a/packages/router/src/__tests__/configurationChange.test.ts
+++ b/packages/router/src/__tests__/configurationChange.test.ts
@@ -9,7 +9,7 @@
 
 const SEED = 20_261_202;
 
-/** Any hash will do that tells texts apart. */
+/** Any hash that distinguishes the texts of the tests is sufficient. */
 const hash = (text: string): number =>
   [...text].reduce((sum, letter) => (sum * 33 + letter.charCodeAt(0)) >>> 0, 5_381);
 
@@ -56,7 +56,7 @@
   teams: byName(configuration.teams),
 });
 
-test('a change leads from any configuration to any other, and nowhere else', () => {
+test('a change converts its base configuration into the target, and does not apply to another version', () => {
   fc.assert(
     fc.property(configurationOf(3), configurationOf(5), configurationOf(4), (before, after, other) => {
       const change = diffConfigurations(digest, before, after);
@@ -69,16 +69,16 @@
   );
 });
 
-test('a change whose records were lost on the way is found out', () => {
+test('a change with missing records is rejected by its digest', () => {
   const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
   const before = { version: 1, routes: [route('a', 1)], services: [], teams: undefined, limits };
   const after = { ...before, version: 2, routes: [route('a', 2), route('b', 1)] };
   const change = diffConfigurations(digest, before, after);
-  const cut = { ...change, routes: { ...change.routes, written: change.routes.written.slice(1) } };
-  expect(applyConfigurationChange(digest, before, cut).val).toBe('otherDigest');
+  const truncated = { ...change, routes: { ...change.routes, written: change.routes.written.slice(1) } };
+  expect(applyConfigurationChange(digest, before, truncated).val).toBe('otherDigest');
 });
 
-test('records that did not change are kept once', () => {
+test('unchanged records are shared between two versions', () => {
   const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
   const before = {
     version: 1,
--- a/packages/router/src/__tests__/crashCheck.test.ts
+++ b/packages/router/src/__tests__/crashCheck.test.ts
@@ -22,35 +22,35 @@
   );
   crashed = [];
   const connections = new EndpointConnections({ countBoxes: () => 1, now: () => 0, onOpened: () => {} });
-  check = new CrashCheck(connections, (one) => crashed.push(one));
+  check = new CrashCheck(connections, (crashedRow) => crashed.push(crashedRow));
 }
 
-const end = (): Promise<void> => new Promise((resolve) => server.close(() => resolve()));
+const closeServer = (): Promise<void> => new Promise((resolve) => server.close(() => resolve()));
 
 afterEach(() => server.close());
 
-test('an endpoint whose connection broke but which accepts new ones did not crash', async () => {
+test('an endpoint whose connection broke but that accepts new connections has not crashed', async () => {
   await addEndpoint('live');
   expect(await check.check(row)).toBe('running');
   expect(crashed).toEqual([]);
 });
 
-test('an endpoint where nobody listens crashed; all that ask at once get one check', async () => {
+test('an endpoint without a listener has crashed; concurrent callers share one check', async () => {
   await addEndpoint('live');
-  await end();
+  await closeServer();
   expect(await Promise.all([check.check(row), check.check(row)])).toEqual(['crashed', 'crashed']);
   expect(crashed).toEqual([row]);
 });
 
-test('an endpoint that was leaving has ended as planned', async () => {
+test('a leaving endpoint without a listener is not counted as crashed', async () => {
   await addEndpoint('leaving');
-  await end();
+  await closeServer();
   expect(await check.check(row)).toBe('unknown');
 });
 
-test('an endpoint that announced in a response that it leaves is not counted as crashed', async () => {
+test('an endpoint that announced in a response that it is leaving is not counted as crashed', async () => {
   await addEndpoint('live');
   row.notice.isLeaving = true;
-  await end();
+  await closeServer();
   expect(await check.check(row)).toBe('unknown');
 });
--- a/packages/router/src/__tests__/decisionLog.test.ts
+++ b/packages/router/src/__tests__/decisionLog.test.ts
@@ -1,6 +1,6 @@
 import { formatLine } from '../observability/decisionLog.js';
 
-test('a line holds time, level, box and its fields, and nothing else', () => {
+test('a log line contains the time, the level, the box and the fields of the event, and nothing else', () => {
   const date = new Date('2026-01-02T03:04:05.678Z');
   const meta = {
     date,
--- a/packages/router/src/__tests__/endpointConnections.test.ts
+++ b/packages/router/src/__tests__/endpointConnections.test.ts
@@ -24,21 +24,21 @@
   server.close();
 });
 
-test('a connection is used again after it was given back', async () => {
+test('a connection is reused after its release', async () => {
   const first = (await connections.acquire(row, LONG_MS, 10)).unwrap();
   connections.release(row, first);
   expect((await connections.acquire(row, LONG_MS, 10)).unwrap()).toBe(first);
   first.socket.destroy();
 });
 
-test('a connection that is given back after its endpoint is gone is closed', async () => {
+test('a connection that is released after its endpoint was removed is closed', async () => {
   const connection = (await connections.acquire(row, LONG_MS, 10)).unwrap();
   connections.forget(row.listing.id);
   connections.release(row, connection);
   expect(connection.socket.destroyed).toBe(true);
 });
 
-test('no more connections are made than the endpoint takes from one box', async () => {
+test('no more connections are opened than one box may have to the endpoint', async () => {
   const first = (await connections.acquire(row, LONG_MS, 1)).unwrap();
   expect((await connections.acquire(row, LONG_MS, 1)).val).toBe('connectionLimit');
   first.socket.destroy();
--- a/packages/router/src/__tests__/endpointHealth.test.ts
+++ b/packages/router/src/__tests__/endpointHealth.test.ts
@@ -2,38 +2,39 @@
 import { isUsable, markReachable, recordHealthSignal } from '../systems/endpointHealth.js';
 import type { EndpointRow, EndpointTable } from '../tables/endpointTable.js';
 
-function failOften(table: EndpointTable, row: EndpointRow, nowMs: number): void {
+/** Reports enough failures in a row to eject an endpoint. */
+function failRepeatedly(table: EndpointTable, row: EndpointRow, nowMs: number): void {
   for (let count = 0; count < 6; count += 1) recordHealthSignal(table, row, 'broke', nowMs);
 }
 
-test('an endpoint that keeps failing gets no new requests for a while, and is then tried again', () => {
+test('an endpoint that keeps failing is ejected for some time and then tried again', () => {
   const { table, rows } = createTable(6);
   const [row] = rows;
   if (row === undefined) throw new Error('no endpoint');
-  failOften(table, row, 1_000);
+  failRepeatedly(table, row, 1_000);
   expect(isUsable(row, 1_001)).toBe(false);
   expect(isUsable(row, 10_000)).toBe(true);
   expect(recordHealthSignal(table, row, 'answered', 10_000)).toBe('restored');
 });
 
-test('one that fails its trial is out for longer', () => {
+test('an endpoint that fails its trial is ejected for longer', () => {
   const { table, rows } = createTable(6);
   const [row] = rows;
   if (row === undefined) throw new Error('no endpoint');
-  failOften(table, row, 1_000);
-  const firstMs = row.health.type === 'ejected' ? row.health.untilMs - 1_000 : 0;
+  failRepeatedly(table, row, 1_000);
+  const firstEjectionMs = row.health.type === 'ejected' ? row.health.untilMs - 1_000 : 0;
   recordHealthSignal(table, row, 'broke', 10_000);
-  const secondMs = row.health.type === 'ejected' ? row.health.untilMs - 10_000 : 0;
-  expect(secondMs).toBeGreaterThan(firstMs);
+  const secondEjectionMs = row.health.type === 'ejected' ? row.health.untilMs - 10_000 : 0;
+  expect(secondEjectionMs).toBeGreaterThan(firstEjectionMs);
 });
 
-test('never more than a third of a service is ejected, even if all fail', () => {
+test('at most a third of the endpoints of a service are ejected, even if all fail', () => {
   const { table, rows } = createTable(9);
-  for (const row of rows) failOften(table, row, 1_000);
+  for (const row of rows) failRepeatedly(table, row, 1_000);
   expect(rows.filter((row) => !isUsable(row, 1_001)).length).toBe(3);
 });
 
-test('single failures among answers eject nobody', () => {
+test('occasional failures among successful responses eject no endpoint', () => {
   const { table, rows } = createTable(6);
   const [row] = rows;
   if (row === undefined) throw new Error('no endpoint');
@@ -43,7 +44,7 @@
   }
 });
 
-test('one that refuses for lack of room is not taken for broken', () => {
+test('an endpoint that refuses requests for lack of capacity is not ejected', () => {
   const { table, rows } = createTable(6);
   const [row] = rows;
   if (row === undefined) throw new Error('no endpoint');
@@ -51,7 +52,7 @@
   expect(isUsable(row, 50)).toBe(true);
 });
 
-test('one that cannot be reached is out until a connection comes up', () => {
+test('an unreachable endpoint gets no requests until a connection succeeds', () => {
   const { table, rows } = createTable(6);
   const [row] = rows;
   if (row === undefined) throw new Error('no endpoint');
--- a/packages/router/src/__tests__/endpointNotices.test.ts
+++ b/packages/router/src/__tests__/endpointNotices.test.ts
@@ -3,7 +3,7 @@
 import { isLeaving, recordAnnouncements } from '../systems/endpointNotices.js';
 import { EndpointTable } from '../tables/endpointTable.js';
 
-const createFacts = (changes: Partial<ResponseMetadata>): ResponseMetadata => ({
+const createMetadata = (changes: Partial<ResponseMetadata>): ResponseMetadata => ({
   requestId: 'r-1',
   isSealed: true,
   isNotRun: false,
@@ -15,26 +15,26 @@
 test('a response without an announcement changes nothing', () => {
   const [row] = createTable(1).rows;
   if (row === undefined) throw new Error('no row');
-  expect(recordAnnouncements(row, createFacts({}), 0)).toEqual([]);
+  expect(recordAnnouncements(row, createMetadata({}), 0)).toEqual([]);
   expect(row.notice).toEqual({ isLeaving: false, backOffUntilMs: 0, bornMs: undefined });
 });
 
 test('a leave announcement is reported once and not revoked by a response without it', () => {
   const [row] = createTable(1).rows;
   if (row === undefined) throw new Error('no row');
-  expect(recordAnnouncements(row, createFacts({ isLeaving: true }), 0)).toEqual(['leaving']);
-  expect(recordAnnouncements(row, createFacts({ isLeaving: true }), 1)).toEqual([]);
-  expect(recordAnnouncements(row, createFacts({}), 2)).toEqual([]);
+  expect(recordAnnouncements(row, createMetadata({ isLeaving: true }), 0)).toEqual(['leaving']);
+  expect(recordAnnouncements(row, createMetadata({ isLeaving: true }), 1)).toEqual([]);
+  expect(recordAnnouncements(row, createMetadata({}), 2)).toEqual([]);
   expect(row.notice.isLeaving).toBe(true);
 });
 
 test('a later back-off can extend the current one but not shorten it', () => {
   const [row] = createTable(1).rows;
   if (row === undefined) throw new Error('no row');
-  expect(recordAnnouncements(row, createFacts({ backOffMs: 3_000 }), 1_000)).toEqual(['backOff']);
-  expect(recordAnnouncements(row, createFacts({ backOffMs: 500 }), 1_100)).toEqual([]);
+  expect(recordAnnouncements(row, createMetadata({ backOffMs: 3_000 }), 1_000)).toEqual(['backOff']);
+  expect(recordAnnouncements(row, createMetadata({ backOffMs: 500 }), 1_100)).toEqual([]);
   expect(row.notice.backOffUntilMs).toBe(4_000);
-  expect(recordAnnouncements(row, createFacts({ backOffMs: 3_000, isLeaving: true }), 1_200)).toEqual([
+  expect(recordAnnouncements(row, createMetadata({ backOffMs: 3_000, isLeaving: true }), 1_200)).toEqual([
     'leaving',
     'backOff',
   ]);
@@ -47,7 +47,7 @@
   beforeEach(() => {
     table = new EndpointTable(() => 1);
     const row = table.upsert(createListing('e-1', { bornMs: 1_000 }), 0);
-    recordAnnouncements(row, createFacts({ isLeaving: true }), 0);
+    recordAnnouncements(row, createMetadata({ isLeaving: true }), 0);
   });
 
   test.each([undefined, 999, 1_000])(
@@ -60,9 +60,9 @@
   );
 
   test('received after its row was removed applies to the next row', () => {
-    const gone = table.upsert(createListing('e-2'), 0);
+    const removedRow = table.upsert(createListing('e-2'), 0);
     table.remove('e-2');
-    recordAnnouncements(gone, createFacts({ isLeaving: true }), 1);
+    recordAnnouncements(removedRow, createMetadata({ isLeaving: true }), 1);
     expect(isLeaving(table.upsert(createListing('e-2'), 2))).toBe(true);
   });
 
--- a/packages/router/src/__tests__/eventSplitter.test.ts
+++ b/packages/router/src/__tests__/eventSplitter.test.ts
@@ -1,7 +1,7 @@
 import * as fc from 'fast-check';
 import { EventSplitter, readLastEventId } from '../proxy/eventSplitter.js';
 
-test('yields whole events only, however the bytes are cut', () => {
+test('emits only complete events, however the bytes are split into chunks', () => {
   const text = Array.from({ length: 8 }, (_, at) => `id: ${at + 1}\ndata: piece ${at}\n\n`).join('');
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 1, max: 30 }), { minLength: 1 }), (sizes) => {
@@ -24,7 +24,7 @@
   );
 });
 
-test('drops an unfinished event when the stream goes on elsewhere', () => {
+test('drops an incomplete event when the stream resumes on another connection', () => {
   const splitter = new EventSplitter();
   splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'));
   splitter.reset();
@@ -36,6 +36,6 @@
   ['data: id: 9\nid: 8\n\n', '8'],
   ['id:1\r\ndata: x\r\n\r\n', '1'],
   ['data: x\n\n', undefined],
-])('reads the id of %j', (text, id) => {
+])('reads the last event id of %j', (text, id) => {
   expect(readLastEventId(Buffer.from(text))).toBe(id);
 });
--- a/packages/router/src/__tests__/peerMesh.test.ts
+++ b/packages/router/src/__tests__/peerMesh.test.ts
@@ -7,15 +7,15 @@
 
 const meshes: PeerMesh[] = [];
 const timers: NodeJS.Timeout[] = [];
-/** Heartbeats that may still be under way on a link that goes silent, and more. */
-const MORE_THAN_UNDER_WAY = 50;
-const relays = new Set<SilentRelay>();
+/** More heartbeats than can still be in flight on a link that goes silent. */
+const MORE_THAN_IN_FLIGHT = 50;
+const proxies = new Set<SilenceableProxy>();
 
 afterEach(() => {
   for (const timer of timers.splice(0)) clearInterval(timer);
   for (const mesh of meshes.splice(0)) mesh.close();
-  for (const relay of relays) relay.close();
-  relays.clear();
+  for (const proxy of proxies) proxy.close();
+  proxies.clear();
 });
 
 const createHeartbeat = (address: string): Heartbeat => ({
@@ -36,15 +36,15 @@
 
 async function startMesh(
   seeds: readonly string[],
-  heard: PeerFrame[] = [],
+  received: PeerFrame[] = [],
   port = 0,
-  knownAs?: string,
+  advertisedAddress?: string,
   now: () => number = () => performance.now(),
 ): Promise<PeerMesh> {
   const handlers = {
-    createHeartbeat: () => createHeartbeat(knownAs ?? mesh.address),
+    createHeartbeat: () => createHeartbeat(advertisedAddress ?? mesh.address),
     onFrameRead: () => {},
-    onFrame: (frame: PeerFrame) => void heard.push(frame),
+    onFrame: (frame: PeerFrame) => void received.push(frame),
     onProblem: () => {},
     onStateChange: () => {},
   };
@@ -60,12 +60,12 @@
   const mesh: PeerMesh = new PeerMesh(options, handlers);
   meshes.push(mesh);
   await mesh.listen('127.0.0.1', port);
-  timers.push(setInterval(() => mesh.broadcast(createHeartbeat(knownAs ?? mesh.address)), 20));
+  timers.push(setInterval(() => mesh.broadcast(createHeartbeat(advertisedAddress ?? mesh.address)), 20));
   return mesh;
 }
 
-/** Passes connections on until it is told to let those that are open go silent. */
-class SilentRelay {
+/** A TCP proxy that can stop forwarding on its open connections without closing them. */
+class SilenceableProxy {
   connections = 0;
   private readonly sockets: Socket[] = [];
   private readonly server: Server;
@@ -75,11 +75,11 @@
   constructor() {
     this.server = createServer((socket) => {
       this.connections += 1;
-      const onward = connect(this.targetPort, '127.0.0.1');
-      socket.pipe(onward).pipe(socket);
-      for (const end of [socket, onward]) end.on('error', () => end.destroy());
-      this.sockets.push(socket, onward);
-      relays.add(this);
+      const upstream = connect(this.targetPort, '127.0.0.1');
+      socket.pipe(upstream).pipe(socket);
+      for (const end of [socket, upstream]) end.on('error', () => end.destroy());
+      this.sockets.push(socket, upstream);
+      proxies.add(this);
     });
   }
 
@@ -102,47 +102,47 @@
 }
 
 async function waitUntil(condition: () => boolean): Promise<void> {
-  // A wait of a test that has timed out must not keep the run from ending.
+  // The timer must not keep the process alive after the test has timed out.
   while (!condition()) await new Promise((resolve) => setTimeout(resolve, 10).unref());
 }
 
-test('boxes that share one seed find each other', async () => {
+test('boxes that share a seed discover each other', async () => {
   const seed = await startMesh([]);
   const others = await Promise.all([startMesh([seed.address]), startMesh([seed.address])]);
-  const found = [seed, ...others];
-  await waitUntil(() => found.every((mesh) => mesh.countBoxes() === 3));
-  // A box that answered counts at once; its loads come with its own heartbeat.
-  await waitUntil(() => found.every((mesh) => mesh.listRecentlySeen().length === 2));
+  const allMeshes = [seed, ...others];
+  await waitUntil(() => allMeshes.every((mesh) => mesh.countBoxes() === 3));
+  // A box counts as soon as it has responded; its loads arrive with its own heartbeat.
+  await waitUntil(() => allMeshes.every((mesh) => mesh.listRecentlySeen().length === 2));
   expect(others[0]?.listRecentlySeen().map((peer) => peer.heartbeat.loads)).toEqual([
     [4_000_000_000, 2],
     [4_000_000_000, 2],
   ]);
 });
 
-test('a seed that was never heard counts as a box: it may spend from the same budget', async () => {
+test('a seed that was never seen counts as a box, because it may spend from the same budget', async () => {
   const mesh = await startMesh(['127.0.0.1:9', '127.0.0.1:10', '127.0.0.1:11']);
   expect(mesh.countBoxes()).toBe(3);
 });
 
-test('a box that starts again at its address is heard again', async () => {
+test('frames of a box that restarts at its address are received again', async () => {
   const first = await startMesh([]);
   const second = await startMesh([first.address]);
   await waitUntil(() => first.countBoxes() === 2);
   const port = Number(second.address.split(':')[1]);
   second.close();
-  const heard: PeerFrame[] = [];
-  await startMesh([first.address], heard, port);
-  await waitUntil(() => heard.length > 0);
+  const received: PeerFrame[] = [];
+  await startMesh([first.address], received, port);
+  await waitUntil(() => received.length > 0);
 });
 
-test('a seed that was away for longer than a cut usually lasts is found again', async () => {
-  // Time passes fifty times as fast, and jumps over the time away.
+test('a seed that was down for longer than a network partition usually lasts is discovered again', async () => {
+  // The clock runs fifty times as fast, and skips the downtime.
   let jumpMs = 40_000;
   const startedAtMs = performance.now();
   const now = (): number => startedAtMs + (performance.now() - startedAtMs) * 50 + jumpMs;
-  const former = await startMesh([]);
-  const port = Number(former.address.split(':')[1]);
-  former.close();
+  const earlierSeed = await startMesh([]);
+  const port = Number(earlierSeed.address.split(':')[1]);
+  earlierSeed.close();
   const box = await startMesh([`127.0.0.1:${port}`], [], 0, undefined, now);
   jumpMs += 40_000;
   box.broadcast(createHeartbeat(box.address));
@@ -150,7 +150,7 @@
   await waitUntil(() => box.listRecentlySeen().length === 1);
 });
 
-test('frames survive any cut, and foreign bytes are refused', () => {
+test('frames are decoded from any chunks, and bytes of other protocols are rejected', () => {
   const packet = encodePeerFrame(createHeartbeat('127.0.0.1:1'));
   const reader = new PeerFrameReader();
   const frames = [...packet].flatMap((byte) => reader.push(Buffer.from([byte])).unwrap());
@@ -163,19 +163,19 @@
   });
 });
 
-test('a link that goes silent without a reset is made anew, though the peer is still heard', async () => {
-  const relay = new SilentRelay();
-  await relay.listen();
-  // The first box is known by the address of the relay, so that the second one's link to it leads through there.
-  const heardByFirst: PeerFrame[] = [];
-  const first = await startMesh([], heardByFirst, 0, relay.address);
-  relay.targetPort = Number(first.address.split(':')[1]);
-  const second = await startMesh([relay.address]);
+test('a link that goes silent without a reset is reconnected, even if frames of the peer still arrive', async () => {
+  const proxy = new SilenceableProxy();
+  await proxy.listen();
+  // The first box advertises the address of the proxy, so that the link of the second box to it leads through the proxy.
+  const receivedByFirst: PeerFrame[] = [];
+  const first = await startMesh([], receivedByFirst, 0, proxy.address);
+  proxy.targetPort = Number(first.address.split(':')[1]);
+  const second = await startMesh([proxy.address]);
   await waitUntil(() => second.listReachable().length === 1);
-  relay.silence();
-  heardByFirst.length = 0;
-  const countHeard = (): number =>
-    heardByFirst.filter((frame) => frame.type === 'heartbeat' && frame.address === second.address).length;
-  await waitUntil(() => countHeard() >= MORE_THAN_UNDER_WAY);
-  expect(countHeard()).toBeGreaterThanOrEqual(MORE_THAN_UNDER_WAY);
+  proxy.silence();
+  receivedByFirst.length = 0;
+  const countReceived = (): number =>
+    receivedByFirst.filter((frame) => frame.type === 'heartbeat' && frame.address === second.address).length;
+  await waitUntil(() => countReceived() >= MORE_THAN_IN_FLIGHT);
+  expect(countReceived()).toBeGreaterThanOrEqual(MORE_THAN_IN_FLIGHT);
 });
--- a/packages/router/src/__tests__/retryBudget.test.ts
+++ b/packages/router/src/__tests__/retryBudget.test.ts
@@ -4,30 +4,30 @@
 const bound = { ratio: 0.2, windowMs: 10_000, extra: 56 };
 const WARM_MS = 10_000;
 
-test('a box that just started has no part of the fixed number', () => {
+test('a box that just started has no share of the fixed allowance', () => {
   const budget = new RetryBudget(bound, 0, () => 1);
   expect(budget.take('s', 100)).toBe(false);
   for (let count = 0; count < 10; count += 1) budget.recordRequest('s', 100);
   expect(budget.take('s', 100)).toBe(true);
 });
 
-test('services do not spend from each other', () => {
+test('each service has its own budget', () => {
   const budget = new RetryBudget(bound, 0, () => 8);
   while (budget.take('a', WARM_MS)) {
-    // Spends all of it.
+    // Spends the whole budget.
   }
   expect(budget.take('b', WARM_MS)).toBe(true);
 });
 
-test('what was spent comes back when the window has passed', () => {
+test('the budget is available again after the window', () => {
   const budget = new RetryBudget(bound, 0, () => 8);
   while (budget.take('a', WARM_MS)) {
-    // Spends all of it.
+    // Spends the whole budget.
   }
   expect(budget.take('a', WARM_MS + bound.windowMs)).toBe(true);
 });
 
-test('all boxes together stay below the bound in every window, whatever arrives where', () => {
+test('all boxes together stay within the bound in every window, however requests are distributed', () => {
   const arrivals = fc.array(fc.record({ box: fc.nat(7), gapMs: fc.nat(200), tries: fc.nat(4) }), {
     maxLength: 600,
   });
@@ -46,10 +46,12 @@
         sent.push({ atMs: nowMs, retries });
       }
       for (const { atMs } of sent) {
-        const inWindow = sent.filter((one) => one.atMs > atMs - bound.windowMs && one.atMs <= atMs);
-        const retries = inWindow.reduce((sum, one) => sum + one.retries, 0);
-        // The bound also counts the requests of the window before.
-        const counted = sent.filter((one) => one.atMs > atMs - 2 * bound.windowMs && one.atMs <= atMs).length;
+        const inWindow = sent.filter((entry) => entry.atMs > atMs - bound.windowMs && entry.atMs <= atMs);
+        const retries = inWindow.reduce((sum, entry) => sum + entry.retries, 0);
+        // The bound also counts the requests of the previous window.
+        const counted = sent.filter(
+          (entry) => entry.atMs > atMs - 2 * bound.windowMs && entry.atMs <= atMs,
+        ).length;
         expect(retries).toBeLessThanOrEqual(bound.ratio * counted + bound.extra);
       }
     }),
--- a/packages/router/src/__tests__/routeIndex.test.ts
+++ b/packages/router/src/__tests__/routeIndex.test.ts
@@ -29,7 +29,7 @@
   ['a.example', '/x/y/z', 'long'],
   ['A.Example:8080', '/x/z', 'short'],
   ['a.example', '/x/yz', 'short'],
-])('%s%s takes the longest prefix: %s', (host, path, name) => {
+])('%s%s matches the route with the longest prefix: %s', (host, path, name) => {
   const match = index.match(host, path, 'k');
   expect(match.type === 'routed' && match.route.name).toBe(name);
 });
@@ -47,7 +47,7 @@
   expect(index.match('a.example', '/open/', undefined).type).toBe('routed');
 });
 
-test('targets get their share of the hashes', () => {
+test('each target gets a share of the hash range by its weight', () => {
   const targets = [
     { service: 'a', weight: 90 },
     { service: 'b', weight: 10 },
--- a/packages/router/src/__tests__/silence.test.ts
+++ b/packages/router/src/__tests__/silence.test.ts
@@ -14,26 +14,30 @@
   isResumable: false,
   ...changes,
 });
-const calm = { isUnreachable: false, hasOthers: false, isAnswering: false };
+const baseSilence = { isUnreachable: false, hasOthers: false, isAnswering: false };
 
 test.each(['once', 'stream'] as const)(
-  'a request that runs at most once (%s) waits, however long',
+  'a request that must run at most once (%s) waits for its response without a limit',
   (kind) => {
-    const silence = { ...calm, route: createRoute({ kind }), silentMs: 60_000, isUnreachable: true };
+    const silence = { ...baseSilence, route: createRoute({ kind }), silentMs: 60_000, isUnreachable: true };
     expect(decideOnSilence(silence)).toBe('wait');
   },
 );
 
-test('a plain request asks a second endpoint while there is time to be on time, and no third', () => {
-  const silence = { ...calm, route: createRoute({}) };
+test('a repeatable request is hedged to a second endpoint before its target latency, but not to a third', () => {
+  const silence = { ...baseSilence, route: createRoute({}) };
   expect(decideOnSilence({ ...silence, silentMs: 100 })).toBe('wait');
   expect(decideOnSilence({ ...silence, silentMs: 200 })).toBe('hedge');
   expect(decideOnSilence({ ...silence, silentMs: 200, hasOthers: true })).toBe('wait');
   expect(decideOnSilence({ ...silence, silentMs: 200, isAnswering: true })).toBe('wait');
 });
 
-test('a resumable stream leaves a silent endpoint, and at once one that cannot be reached', () => {
-  const silence = { ...calm, route: createRoute({ kind: 'stream', isResumable: true }), isAnswering: true };
+test('a resumable stream leaves a silent endpoint, and an unreachable one sooner', () => {
+  const silence = {
+    ...baseSilence,
+    route: createRoute({ kind: 'stream', isResumable: true }),
+    isAnswering: true,
+  };
   expect(decideOnSilence({ ...silence, silentMs: 500 })).toBe('wait');
   expect(decideOnSilence({ ...silence, silentMs: 900 })).toBe('leave');
   expect(decideOnSilence({ ...silence, silentMs: 100, isUnreachable: true })).toBe('leave');
--- a/packages/router/src/__tests__/silenceWatch.test.ts
+++ b/packages/router/src/__tests__/silenceWatch.test.ts
@@ -17,21 +17,21 @@
 };
 
 /**
- * Seen in a profile of boxes whose endpoints are all late: a twentieth of their processor time went into asking the budget,
- * at every tick and for every request, for a second endpoint that was denied, and into the lines about it.
+ * Guards against a request for a hedge at every tick. In a profile of boxes whose endpoints were all late, 5% of the processor
+ * time went into requests to the retry budget that were denied, and into their log lines.
  */
-test('a second endpoint is wanted at once when it is due, and after that at a pace', () => {
+test('a hedge is requested as soon as it is due, and then at a fixed interval', () => {
   const attempt = {
     row: { health: { type: 'good' } },
     sentAtMs: 1_000,
     hedgeWantedAtMs: -Infinity,
     isOnKeptConnection: false,
   } as unknown as Attempt;
-  const wantedAtMs: number[] = [];
+  const requestedAtMs: number[] = [];
   for (let nowMs = 1_000; nowMs < 1_600; nowMs += 40) {
     const watched = { route, answeredAtMs: undefined, hasOthers: false, nowMs };
-    const { action: verdict } = watchSilence({} as RouterContext, attempt, watched);
-    if (verdict === 'hedge') wantedAtMs.push(nowMs);
+    const { action } = watchSilence({} as RouterContext, attempt, watched);
+    if (action === 'hedge') requestedAtMs.push(nowMs);
   }
-  expect(wantedAtMs).toEqual([1_080, 1_280, 1_480]);
+  expect(requestedAtMs).toEqual([1_080, 1_280, 1_480]);
 });
--- a/packages/router/src/__tests__/workMeter.test.ts
+++ b/packages/router/src/__tests__/workMeter.test.ts
@@ -1,4 +1,4 @@
-/** Guards against processor time that cannot be traced to a kind of work. */
+/** Guards against processor time that is not attributed to a kind of work. */
 import type { DecisionLog, LogFields } from '../observability/decisionLog.js';
 import { RouterMetrics } from '../observability/metrics.js';
 import { WorkMeter } from '../observability/workMeter.js';
@@ -52,7 +52,7 @@
   expect((await metrics.processorMs.get()).values[0]?.value).toBe(100);
 });
 
-test('work within other work counts for its own kind alone, also after an error', async () => {
+test('nested work counts only for its own kind, also after an error', async () => {
   const fail = (): never => {
     nowMs += 5;
     throw new Error('expected');
@@ -68,7 +68,7 @@
   expect(await readWorkMs('configuration')).toBe(5);
 });
 
-test('work within work of the same kind is part of it', () => {
+test('nested work of the same kind is part of the outer work', () => {
   meter.measure('configuration', () => meter.measure('configuration', () => (nowMs += 20)));
   processorUs = 200_000;
   nowMs = SECOND_MS;
