--- a/packages/daemon/src/adapters/addresses.ts
+++ b/packages/daemon/src/adapters/addresses.ts
@@ -1,4 +1,4 @@
-/** Addresses written `host:port`. */
+/** Addresses in the form `host:port`. */
 import type { Server } from 'node:net';
 import type { AddressInfo } from 'node:net';
 
@@ -18,7 +18,7 @@
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** Binds a server; resolves with the address it got, rejects if the address is taken. */
+/** Binds a server; resolves with the address it is bound to, rejects if the address is in use. */
 export function listenOn(server: Server, address: string): Promise<string> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve, reject) => {
--- a/packages/daemon/src/adapters/adminServer.ts
+++ b/packages/daemon/src/adapters/adminServer.ts
@@ -1,20 +1,20 @@
 /**
- * The operators' interface of one box: status, why a chat goes where it goes, and a planned stop.
+ * The admin interface of a box: its status, the declared file in force, the placement of a chat, and a planned stop.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { listenOn } from './addresses.js';
 
-/** What the server needs from the daemon. */
+/** Callbacks of the daemon that the server uses. */
 export interface AdminServerOptions {
   readonly readStatus: () => unknown;
-  /** The declared file in force, as published. */
+  /** Returns the text of the declared file in force, as published. */
   readonly readDeclaredFile: () => string;
   readonly explainChat: (model: string, chat: string) => unknown;
   readonly requestStop: () => void;
 }
 
-/** Listens for operators' tools. */
+/** Serves requests of operators' tools. */
 export class AdminServer {
   private readonly server: Server;
 
@@ -27,7 +27,7 @@
     return listenOn(this.server, address);
   }
 
-  /** Stops listening. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -38,18 +38,18 @@
     const route = `${req.method} ${url.pathname}`;
     switch (route) {
       case 'GET /v1/status':
-        return answerJson(res, this.options.readStatus());
+        return sendJson(res, this.options.readStatus());
       case 'GET /v1/declared':
-        return answerJson(res, { text: this.options.readDeclaredFile() });
+        return sendJson(res, { text: this.options.readDeclaredFile() });
       case 'GET /v1/explain': {
         const { searchParams } = url;
-        return answerJson(
+        return sendJson(
           res,
           this.options.explainChat(searchParams.get('model') ?? '', searchParams.get('chat') ?? ''),
         );
       }
       case 'POST /v1/drain':
-        answerJson(res, { draining: true });
+        sendJson(res, { draining: true });
         return this.options.requestStop();
       default:
         res.statusCode = 404;
@@ -58,7 +58,7 @@
   }
 }
 
-function answerJson(res: ServerResponse, value: unknown): void {
+function sendJson(res: ServerResponse, value: unknown): void {
   res.setHeader('content-type', 'application/json');
   res.end(JSON.stringify(value));
 }
--- a/packages/daemon/src/adapters/callerServer.ts
+++ b/packages/daemon/src/adapters/callerServer.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' interface: chats on the common chat-completions path, plain services under a path each.
+ * The callers' interface: chats on the usual chat-completions path, plain services at `/services/NAME`.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -17,18 +17,18 @@
 
 const CHAT_PATH = '/v1/chat/completions';
 const TICKET_PATH = '/v1/tickets';
-/** Bodies of plain services up to this size travel whole; those of keyed calls must. */
+/** Bodies of plain services up to this size are sent in one frame; those of keyed calls must not be larger. */
 const MAX_INLINE_BYTES = 65_536;
 const SERVICE_PATTERN = /^\/services\/([^/?]+)([/?].*)?$/;
 const MAX_DEADLINE_MS = 3_600_000;
-/** The caller names no deadline: the service's own holds. */
+/** The caller sets no deadline, so that of the service applies. */
 const NO_DEADLINE_MS = 0;
 const DEFAULT_PRIORITY = 0;
 const MAX_PRIORITY = 9;
 
 const chatBodySchema = z.object({ model: z.string().min(1), messages: z.array(z.unknown()).min(1) });
 
-/** What the server needs from the daemon. */
+/** Settings and callbacks of the daemon that the server uses. */
 export interface CallerServerOptions {
   readonly maxBodyBytes: number;
   readonly maxHeaderBytes: number;
@@ -37,12 +37,13 @@
   readonly emit: EmitEvent;
   readonly send: (to: BoxId, frame: StreamFrame) => void;
   readonly metrics: Metrics;
-  /** Issues a key for a call that may not be repeated. */
+  /** Issues an idempotency key for a call that may not be repeated. */
   readonly createTicket: () => string;
+  /** Sinks of the responses of open requests, by request id. */
   readonly sinks: Map<string, ResponseSink>;
 }
 
-/** Listens for callers. */
+/** Serves the requests of callers. */
 export class CallerServer {
   private readonly server: Server;
 
@@ -60,7 +61,7 @@
     return listenOn(this.server, address);
   }
 
-  /** Stops listening; connections close as they fall idle. */
+  /** Stops listening; connections are closed when they become idle. Resolves once all are closed. */
   close(): Promise<void> {
     return new Promise((resolve) => {
       this.server.close(() => resolve());
@@ -72,8 +73,8 @@
     const url = req.url ?? '/';
     const service = SERVICE_PATTERN.exec(url);
     if (url === '/healthz') return void res.end('ok\n');
-    if (url === '/readyz') return this.answerReadiness(res);
-    if (url === TICKET_PATH && req.method === 'POST') return this.answerTicket(res);
+    if (url === '/readyz') return this.sendReadiness(res);
+    if (url === TICKET_PATH && req.method === 'POST') return this.sendTicket(res);
     if (url === CHAT_PATH && req.method === 'POST') {
       const { maxBodyBytes } = this.options;
       return this.readBody(req, res, maxBodyBytes, (body) => this.startChat(req, res, body));
@@ -82,13 +83,13 @@
     this.refuse(req, res, 'notFound');
   }
 
-  private answerReadiness(res: ServerResponse): void {
+  private sendReadiness(res: ServerResponse): void {
     const isReady = this.options.isReady();
     res.statusCode = isReady ? 200 : 503;
     res.end(isReady ? 'ready\n' : 'not ready\n');
   }
 
-  private answerTicket(res: ServerResponse): void {
+  private sendTicket(res: ServerResponse): void {
     res.setHeader('content-type', 'application/json');
     res.end(JSON.stringify({ key: this.options.createTicket() }));
   }
@@ -97,7 +98,7 @@
     req: IncomingMessage,
     res: ServerResponse,
     maxBytes: number,
-    use: (body: Buffer) => void,
+    onBody: (body: Buffer) => void,
   ): void {
     const chunks: Buffer[] = [];
     let bytes = 0;
@@ -109,7 +110,7 @@
       req.resume();
       this.refuse(req, res, 'bodyTooLarge');
     });
-    req.on('end', () => use(Buffer.concat(chunks)));
+    req.on('end', () => onBody(Buffer.concat(chunks)));
   }
 
   private startChat(req: IncomingMessage, res: ServerResponse, body: Buffer): void {
@@ -118,7 +119,7 @@
     this.start(req, res, { kind: 'model', service: chat.model, path: CHAT_PATH, body });
   }
 
-  /** A small body of known length is read whole, so that the request can be tried again; any other is streamed. */
+  /** A small body of known length is read completely, so that the request can be retried; any other body is streamed. */
   private handlePlain(req: IncomingMessage, res: ServerResponse, service: string, rest: string): void {
     const path = rest.startsWith('/') ? rest : `/${rest}`;
     const target = { kind: 'plain', service, path } as const;
@@ -126,12 +127,12 @@
     if (lengthBytes > 0 && lengthBytes <= MAX_INLINE_BYTES) {
       return this.readBody(req, res, MAX_INLINE_BYTES, (body) => this.start(req, res, { ...target, body }));
     }
-    const isTooLarge = req.headers[HEADER.key] !== undefined && announcesBody(req);
-    if (isTooLarge) return this.refuse(req, res, 'bodyTooLarge');
+    const isStreamedKeyedCall = req.headers[HEADER.key] !== undefined && announcesBody(req);
+    if (isStreamedKeyedCall) return this.refuse(req, res, 'bodyTooLarge');
     this.start(req, res, target);
   }
 
-  private start(req: IncomingMessage, res: ServerResponse, target: Target): void {
+  private start(req: IncomingMessage, res: ServerResponse, target: RequestTarget): void {
     const requestId = this.options.createRequestId();
     const given = listEndToEndHeaders(req.rawHeaders);
     const hasId = readHeader(given, HEADER.requestId) !== undefined;
@@ -160,7 +161,7 @@
   }
 }
 
-interface Target {
+interface RequestTarget {
   readonly kind: RequestHead['kind'];
   readonly service: string;
   readonly path: string;
@@ -176,31 +177,31 @@
   }
 }
 
-/** Reads a whole number within bounds; undefined where it is not one. */
+/** Reads an integer from a header; returns undefined if the value is no integer or out of range. */
 function readNumber(
   headers: HeaderPairs,
   name: string,
   fallback: number,
-  least: number,
-  most: number,
+  min: number,
+  max: number,
 ): number | undefined {
   const text = readHeader(headers, name);
   if (text === undefined) return fallback;
   const value = Number(text);
-  return Number.isInteger(value) && value >= least && value <= most ? value : undefined;
+  return Number.isInteger(value) && value >= min && value <= max ? value : undefined;
 }
 
-/** A request has a body if it announces its length or an encoding (RFC 9112, section 6.3). */
+/** Whether the request has a body: it has a content length or a transfer encoding (RFC 9112, section 6.3). */
 function announcesBody(req: IncomingMessage): boolean {
   const length = req.headers['content-length'];
   return req.headers['transfer-encoding'] !== undefined || (length !== undefined && length !== '0');
 }
 
-/** Builds the head that routing needs; undefined if a header of the interface is missing or impossible. */
+/** Builds the request head for routing; returns undefined if a header of the callers' interface is missing or invalid. */
 function buildHead(
   req: IncomingMessage,
   headers: HeaderPairs,
-  target: Target,
+  target: RequestTarget,
   requestId: string,
 ): RequestHead | undefined {
   const team = readHeader(headers, HEADER.team);
--- a/packages/daemon/src/adapters/controlAgent.ts
+++ b/packages/daemon/src/adapters/controlAgent.ts
@@ -1,16 +1,17 @@
 /**
- * The HTTP client for control calls (platform and reports), which counts its bytes on the sockets themselves.
+ * The HTTP client for control calls (platform and endpoint reports). Its traffic is counted on the sockets, which includes
+ * headers.
  */
 import type { Socket } from 'node:net';
 import { Agent, buildConnector } from 'undici';
 
 const CONNECTIONS_PER_ORIGIN = 4;
 
-/** An HTTP client whose traffic counts as control. */
+/** An HTTP client that counts the bytes of its traffic. */
 export class ControlAgent {
   readonly agent: Agent;
-  private closedBytes = 0;
-  private readonly open = new Set<Socket>();
+  private closedSocketBytes = 0;
+  private readonly openSockets = new Set<Socket>();
 
   constructor() {
     const connector = buildConnector({});
@@ -18,24 +19,24 @@
       connections: CONNECTIONS_PER_ORIGIN,
       connect: (options, callback) =>
         connector(options, (...result) => {
-          if (result[1] !== null) this.track(result[1]);
+          if (result[1] !== null) this.trackSocket(result[1]);
           callback(...result);
         }),
     });
   }
 
-  /** Bytes sent and received so far. */
+  /** Bytes sent and received on all connections so far. */
   get bytes(): number {
-    let bytes = this.closedBytes;
-    for (const socket of this.open) bytes += socket.bytesRead + socket.bytesWritten;
+    let bytes = this.closedSocketBytes;
+    for (const socket of this.openSockets) bytes += socket.bytesRead + socket.bytesWritten;
     return bytes;
   }
 
-  private track(socket: Socket): void {
-    this.open.add(socket);
+  private trackSocket(socket: Socket): void {
+    this.openSockets.add(socket);
     socket.once('close', () => {
-      this.open.delete(socket);
-      this.closedBytes += socket.bytesRead + socket.bytesWritten;
+      this.openSockets.delete(socket);
+      this.closedSocketBytes += socket.bytesRead + socket.bytesWritten;
     });
   }
 }
--- a/packages/daemon/src/adapters/endpointCalls.ts
+++ b/packages/daemon/src/adapters/endpointCalls.ts
@@ -1,8 +1,8 @@
 /**
- * A steward's calls to endpoints: streams the request in and the answer back to the entry box.
+ * Calls of this box to the endpoints that it owns: streams the request body to the endpoint and the response back to the
+ * entry box.
  *
- * Every call uses a connection of its own where a repeat would do harm, so that "could not connect" proves that
- * nothing was sent.
+ * A call that may not be repeated uses a connection of its own, so that a failure to connect proves that nothing was sent.
  */
 import { PassThrough } from 'node:stream';
 import type {
@@ -22,11 +22,12 @@
 
 const CONNECT_TIMEOUT_MS = 1_000;
 const KEEP_ALIVE_MS = 4_000;
-/** An event stream of the chat-completions form ends with this line. */
+/** Last line of a complete event stream of the chat-completions API. */
 const CHAT_END = Buffer.from('data: [DONE]');
+/** Number of bytes at the end of an event stream that are searched for its last line. */
 const TAIL_BYTES = 64;
 
-/** What the calls need from the daemon. */
+/** Callbacks of the daemon that the calls use. */
 export interface EndpointCallsOptions {
   readonly emit: EmitEvent;
   readonly send: (to: BoxId, frame: StreamFrame) => void;
@@ -34,7 +35,7 @@
   readonly mayShareConnection: (service: string) => boolean;
 }
 
-/** All calls of this box to endpoints. */
+/** The running calls of this box to endpoints. */
 export class EndpointCalls {
   private readonly calls = new Map<string, EndpointCall>();
   private readonly shared = new Agent({
@@ -53,7 +54,7 @@
 
   constructor(private readonly options: EndpointCallsOptions) {}
 
-  /** Calls an endpoint. */
+  /** Starts a call to an endpoint. */
   dispatch(effect: DispatchEffect): void {
     const key = attemptKey(effect);
     const agent = this.options.mayShareConnection(effect.head.service) ? this.shared : this.unshared;
@@ -62,12 +63,12 @@
     call.start(agent);
   }
 
-  /** Stops a call. */
+  /** Cancels a call. */
   cancel(ref: AttemptRef): void {
     this.calls.get(attemptKey(ref))?.cancel();
   }
 
-  /** Handles a frame of the request's body or credit. Returns false if no call of that attempt runs here. */
+  /** Handles a frame with request body or credit. Returns false if no call of that attempt is running. */
   handleFrame(frame: StreamFrame): boolean {
     return this.calls.get(attemptKey(frame))?.handleFrame(frame) ?? false;
   }
@@ -80,27 +81,27 @@
 
 /** One call to an endpoint. */
 class EndpointCall implements Dispatcher.DispatchHandler {
-  private readonly answer: StreamSender;
+  private readonly response: StreamSender;
   private readonly bodyReceiver: StreamReceiver;
   private readonly body: PassThrough | undefined;
   private readonly deadline: NodeJS.Timeout;
   private controller: Dispatcher.DispatchController | undefined;
-  private isOver = false;
+  private isFinished = false;
   private isChatStream = false;
   private tail: Buffer = Buffer.alloc(0);
   private status = 0;
-  private gathered: Buffer[] = [];
+  private pendingChunks: Buffer[] = [];
 
   constructor(
     private readonly effect: DispatchEffect,
     private readonly options: EndpointCallsOptions,
-    private readonly onOver: () => void,
+    private readonly onFinished: () => void,
   ) {
     const send = (frame: StreamFrame): void => options.send(effect.entry, frame);
-    this.answer = new StreamSender(effect, 'answer', send);
+    this.response = new StreamSender(effect, 'answer', send);
     this.bodyReceiver = new StreamReceiver(effect, 'request', send);
     this.body = effect.head.streamsBody ? new PassThrough() : undefined;
-    // The stream may fail after the call is over; by then nobody waits for it.
+    // The stream may fail after the call has finished, when its outcome no longer matters.
     this.body?.on('error', () => {});
     this.deadline = setTimeout(() => this.abort('deadlineExceeded'), effect.remainingMs);
   }
@@ -123,13 +124,13 @@
   handleFrame(frame: StreamFrame): boolean {
     switch (frame.type) {
       case 'data':
-        return this.takeBody(frame.seq, frame.bytes);
+        return this.handleBodyData(frame.seq, frame.bytes);
       case 'end':
         if (!this.bodyReceiver.isComplete(frame.count)) return false;
         this.body?.end();
         return true;
       case 'credit':
-        if (this.answer.addCredit(frame.bytes)) this.controller?.resume();
+        if (this.response.addCredit(frame.bytes)) this.controller?.resume();
         return true;
       case 'answerHead':
         return false;
@@ -144,7 +145,7 @@
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
-    if (this.isOver) controller.abort(new Error('over'));
+    if (this.isFinished) controller.abort(new Error('the call has already finished'));
   }
 
   onResponseStart(
@@ -160,44 +161,45 @@
   }
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    if (this.isOver) return;
-    if (this.isChatStream) this.keepTail(chunk);
-    this.gathered.push(chunk);
-    if (this.gathered.length === 1) queueMicrotask(() => this.flush(controller));
+    if (this.isFinished) return;
+    if (this.isChatStream) this.updateTail(chunk);
+    this.pendingChunks.push(chunk);
+    if (this.pendingChunks.length === 1) queueMicrotask(() => this.flush(controller));
   }
 
-  /** Pieces that came in one read leave in one frame: each frame costs two more boxes work. */
+  /** Sends all chunks of one read in a single frame, as each frame costs work at two more boxes. */
   private flush(controller?: Dispatcher.DispatchController): void {
-    const { gathered } = this;
-    if (gathered.length === 0) return;
-    this.gathered = [];
-    const [first] = gathered;
-    const bytes = gathered.length === 1 && first !== undefined ? first : Buffer.concat(gathered);
-    if (!this.answer.write(bytes)) controller?.pause();
+    const { pendingChunks } = this;
+    if (pendingChunks.length === 0) return;
+    this.pendingChunks = [];
+    const [first] = pendingChunks;
+    const bytes = pendingChunks.length === 1 && first !== undefined ? first : Buffer.concat(pendingChunks);
+    if (!this.response.write(bytes)) controller?.pause();
   }
 
   onResponseEnd(): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     this.flush();
-    const isCut = this.isChatStream && this.effect.head.kind === 'model' && !this.tail.includes(CHAT_END);
-    if (isCut) return this.finish({ type: 'broken', code: 'answerTooShort' });
-    this.answer.end();
+    const isTruncated =
+      this.isChatStream && this.effect.head.kind === 'model' && !this.tail.includes(CHAT_END);
+    if (isTruncated) return this.finish({ type: 'broken', code: 'answerTooShort' });
+    this.response.end();
     this.finish({ type: 'whole', status: this.status });
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
     this.body?.destroy();
-    this.finish(this.judgeError(error));
+    this.finish(this.classifyError(error));
   }
 
-  /** Only a connection that was never made proves that nothing was sent. */
-  private judgeError(error: Error): CallOutcome {
+  /** Only a failed connection attempt proves that nothing was sent. */
+  private classifyError(error: Error): CallOutcome {
     if (this.controller === undefined) return { type: 'notSent' };
-    const isShort = error instanceof errors.ResponseContentLengthMismatchError;
-    return { type: 'broken', code: isShort ? 'answerTooShort' : 'endpointBroke' };
+    const isLengthMismatch = error instanceof errors.ResponseContentLengthMismatchError;
+    return { type: 'broken', code: isLengthMismatch ? 'answerTooShort' : 'endpointBroke' };
   }
 
-  private takeBody(seq: number, bytes: Uint8Array): boolean {
+  private handleBodyData(seq: number, bytes: Uint8Array): boolean {
     const { body } = this;
     if (body === undefined || !this.bodyReceiver.acceptPiece(seq)) return false;
     if (body.write(bytes)) this.bodyReceiver.returnCredit(bytes.length);
@@ -205,7 +207,7 @@
     return true;
   }
 
-  private keepTail(chunk: Buffer): void {
+  private updateTail(chunk: Buffer): void {
     this.tail = Buffer.from(Buffer.concat([this.tail, chunk]).subarray(-TAIL_BYTES));
   }
 
@@ -215,10 +217,10 @@
   }
 
   private finish(outcome: CallOutcome): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isFinished) return;
+    this.isFinished = true;
     clearTimeout(this.deadline);
-    this.onOver();
+    this.onFinished();
     const { requestId, attempt } = this.effect;
     this.options.emit({ type: 'callEnded', requestId, attempt, outcome });
   }
--- a/packages/daemon/src/adapters/endpointReports.ts
+++ b/packages/daemon/src/adapters/endpointReports.ts
@@ -1,7 +1,7 @@
 /**
- * Endpoints' own load reports, read at a slow pace from those this box is the steward of.
+ * Load reports of endpoints, polled at a long interval from the endpoints that this box owns.
  *
- * Published interface: `GET /v1/report` answers `{ "inFlight": n, "leaving": bool }`.
+ * Published interface: `GET /v1/report` returns `{ "inFlight": n, "leaving": bool }`.
  */
 import type { WatchedEndpoint } from '@hazelwalk/core';
 import type { Dispatcher } from 'undici';
@@ -9,14 +9,14 @@
 import { z } from 'zod';
 import type { EmitEvent } from '../coreLoop.js';
 
-/** Pace of reports; a leaving endpoint is noticed within one of these and a call. */
-const REPORT_MS = 2_000;
+/** Mean interval between two reports of an endpoint. A leaving endpoint is detected within one interval and a call. */
+const REPORT_INTERVAL_MS = 2_000;
 const TIMEOUT_MS = 900;
 const HTTP_OK = 200;
 
 const reportSchema = z.object({ inFlight: z.number().int().nonnegative(), leaving: z.boolean() });
 
-/** Reads reports of the watched endpoints. */
+/** Polls the reports of the watched endpoints. */
 export class EndpointReports {
   private readonly timers = new Map<string, NodeJS.Timeout>();
 
@@ -25,7 +25,7 @@
     private readonly emit: EmitEvent,
   ) {}
 
-  /** Reads reports of exactly these endpoints. */
+  /** Polls the reports of exactly these endpoints. */
   watch(endpoints: readonly WatchedEndpoint[]): void {
     const wanted = new Map(endpoints.map((endpoint) => [`${endpoint.id}@${endpoint.address}`, endpoint]));
     for (const [key, timer] of this.timers) {
@@ -37,12 +37,12 @@
       if (this.timers.has(key)) continue;
       this.timers.set(
         key,
-        setInterval(() => void this.read(endpoint), REPORT_MS * (0.9 + 0.2 * Math.random())),
+        setInterval(() => void this.read(endpoint), REPORT_INTERVAL_MS * (0.9 + 0.2 * Math.random())),
       );
     }
   }
 
-  /** Stops reading. */
+  /** Stops polling. */
   close(): void {
     this.watch([]);
   }
@@ -57,7 +57,7 @@
       if (statusCode !== HTTP_OK || !report.success) return;
       this.emit({ type: 'endpointReport', endpointId: endpoint.id, ...report.data });
     } catch {
-      // A report that cannot be had changes nothing: calls themselves show whether the endpoint works.
+      // A missing report changes nothing: the outcomes of calls show whether the endpoint works.
     }
   }
 }
--- a/packages/daemon/src/adapters/exchange.ts
+++ b/packages/daemon/src/adapters/exchange.ts
@@ -1,5 +1,6 @@
 /**
- * One caller's request at its entry box: streams the body out to the steward and the answer back to the caller.
+ * One caller's request at its entry box: streams the request body to the owner of the endpoint and the response back to the
+ * caller.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type {
@@ -20,10 +21,10 @@
 import { sendProblem } from './problemJson.js';
 import { StreamReceiver, StreamSender } from './streams.js';
 
-/** What an exchange needs from the daemon. */
+/** The request, its HTTP objects and the callbacks of the daemon that an exchange uses. */
 export interface ExchangeOptions {
   readonly requestId: string;
-  /** The id that the caller gave, or the box's own; echoed. */
+  /** Request id that the response contains: the caller's, or the box's own if the caller sent none. */
   readonly echoedId: string;
   readonly head: RequestHead;
   readonly req: IncomingMessage;
@@ -34,56 +35,57 @@
 
 interface Binding {
   readonly ref: AttemptRef;
-  readonly steward: BoxId;
+  /** The box that owns the endpoint. */
+  readonly ownerId: BoxId;
   readonly endpointId: EndpointId;
-  readonly answer: StreamReceiver;
+  readonly response: StreamReceiver;
   readonly body: StreamSender;
 }
 
-/** Whatever takes an answer at the box that a steward sends it to. */
+/** Receives a response at the box to which the endpoint's owner sends it. */
 export interface ResponseSink {
-  /** A steward took the request: later frames must be of this attempt and from this box. */
-  bind(ref: AttemptRef, steward: BoxId, endpointId: EndpointId): void;
-  /** Handles a frame of the answer. Returns false if it belongs to another attempt or came out of order. */
+  /** Binds the sink to the owner that accepted the request: later frames must be of this attempt and from this box. */
+  bind(ref: AttemptRef, ownerId: BoxId, endpointId: EndpointId): void;
+  /** Handles a frame of the response. Returns false if it belongs to another attempt or is out of order. */
   handleFrame(from: BoxId, frame: StreamFrame): boolean;
-  /** The request ended in a refusal. */
+  /** Ends the request with a refusal. */
   refuse(refusal: Refusal): void;
 }
 
-/** One caller's request and answer. */
+/** One caller's request and its response. */
 export class Exchange implements ResponseSink {
   private binding: Binding | undefined;
-  private announcedBytes: number | undefined;
-  private passedBytes = 0;
+  private contentLength: number | undefined;
+  private forwardedBytes = 0;
   private isEventStream = false;
-  private isHeadSet = false;
-  private isOver = false;
+  private hasHead = false;
+  private isFinished = false;
 
   constructor(private readonly options: ExchangeOptions) {
     options.res.on('close', () => this.handleClosed());
   }
 
-  /** The caller's request id as echoed. */
+  /** The request id that the response contains. */
   get echoedId(): string {
     return this.options.echoedId;
   }
 
-  bind(ref: AttemptRef, steward: BoxId, endpointId: EndpointId): void {
-    const send = (frame: StreamFrame): void => this.options.send(steward, frame);
-    const answer = new StreamReceiver(ref, 'answer', send);
-    this.binding = { ref, steward, endpointId, answer, body: new StreamSender(ref, 'request', send) };
+  bind(ref: AttemptRef, ownerId: BoxId, endpointId: EndpointId): void {
+    const send = (frame: StreamFrame): void => this.options.send(ownerId, frame);
+    const response = new StreamReceiver(ref, 'answer', send);
+    this.binding = { ref, ownerId, endpointId, response, body: new StreamSender(ref, 'request', send) };
     if (this.options.head.streamsBody) this.streamBody(this.binding.body);
   }
 
   handleFrame(from: BoxId, frame: StreamFrame): boolean {
     const { binding } = this;
-    if (binding === undefined || this.isOver) return false;
-    if (from !== binding.steward || frame.attempt !== binding.ref.attempt) return false;
+    if (binding === undefined || this.isFinished) return false;
+    if (from !== binding.ownerId || frame.attempt !== binding.ref.attempt) return false;
     switch (frame.type) {
       case 'answerHead':
-        return this.startAnswer(binding, frame);
+        return this.startResponse(binding, frame);
       case 'data':
-        return this.passOn(binding, frame);
+        return this.forwardData(binding, frame);
       case 'end':
         return this.finish(binding, frame);
       case 'credit':
@@ -92,12 +94,15 @@
     }
   }
 
-  /** Gives the caller the final refusal; once part of an answer was passed on, a typed end that cannot look whole. */
+  /**
+   * Sends the final refusal to the caller. If part of the response was already forwarded, an event stream ends with an error
+   * event and any other response is cut off, so that it cannot be taken for complete.
+   */
   refuse(refusal: Refusal): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isFinished) return;
+    this.isFinished = true;
     const { res, req, echoedId } = this.options;
-    if (!res.headersSent && !this.isHeadSet) return sendProblem(res, refusal, echoedId, !req.complete);
+    if (!res.headersSent && !this.hasHead) return sendProblem(res, refusal, echoedId, !req.complete);
     if (!this.isEventStream) return void res.destroy();
     const body = JSON.stringify(createProblemBody(refusal, echoedId));
     res.end(`event: error\ndata: ${body}\n\n`);
@@ -112,60 +117,61 @@
     req.on('end', () => sender.end());
   }
 
-  private startAnswer(binding: Binding, frame: AnswerHeadFrame): boolean {
+  private startResponse(binding: Binding, frame: AnswerHeadFrame): boolean {
     const { res, echoedId, emit } = this.options;
-    if (this.isHeadSet) return false;
+    if (this.hasHead) return false;
     const length = readHeader(frame.headers, 'content-length');
-    this.announcedBytes = length === undefined ? undefined : Number(length);
+    this.contentLength = length === undefined ? undefined : Number(length);
     this.isEventStream = readHeader(frame.headers, 'content-type')?.startsWith('text/event-stream') === true;
     res.statusCode = frame.status;
     for (const [name, value] of frame.headers) res.appendHeader(name, value);
     res.setHeader('x-request-id', echoedId);
     res.setHeader('hazelwalk-endpoint', binding.endpointId);
-    // Headers leave with the first piece if that comes in the same turn; an answer that takes its time shows them now.
+    // Headers are sent with the first data if it arrives in the same turn of the event loop, otherwise without waiting for it.
     setImmediate(() => {
       if (!res.headersSent) res.flushHeaders();
     });
-    this.isHeadSet = true;
+    this.hasHead = true;
     emit({ type: 'answerStarted', ...binding.ref });
     return true;
   }
 
-  private passOn(binding: Binding, frame: DataFrame): boolean {
+  private forwardData(binding: Binding, frame: DataFrame): boolean {
     const { res } = this.options;
-    if (!this.isHeadSet || !binding.answer.acceptPiece(frame.seq)) return false;
-    this.passedBytes += frame.bytes.length;
-    if (this.announcedBytes !== undefined && this.passedBytes > this.announcedBytes) {
-      this.fail('answerTooLong');
+    if (!this.hasHead || !binding.response.acceptPiece(frame.seq)) return false;
+    this.forwardedBytes += frame.bytes.length;
+    if (this.contentLength !== undefined && this.forwardedBytes > this.contentLength) {
+      this.reportBroken('answerTooLong');
       return true;
     }
-    if (res.write(frame.bytes)) binding.answer.returnCredit(frame.bytes.length);
-    else res.once('drain', () => binding.answer.returnCredit(frame.bytes.length));
+    if (res.write(frame.bytes)) binding.response.returnCredit(frame.bytes.length);
+    else res.once('drain', () => binding.response.returnCredit(frame.bytes.length));
     return true;
   }
 
   private finish(binding: Binding, frame: EndFrame): boolean {
-    const isBodyless = this.options.head.method === 'HEAD' || this.passedBytes === this.announcedBytes;
-    const isShort = this.announcedBytes !== undefined && !isBodyless;
-    if (!binding.answer.isComplete(frame.count) || isShort) {
-      this.fail('answerTooShort');
+    const hasExpectedLength =
+      this.options.head.method === 'HEAD' || this.forwardedBytes === this.contentLength;
+    const isTooShort = this.contentLength !== undefined && !hasExpectedLength;
+    if (!binding.response.isComplete(frame.count) || isTooShort) {
+      this.reportBroken('answerTooShort');
       return true;
     }
-    this.isOver = true;
+    this.isFinished = true;
     this.options.res.end();
     this.options.emit({ type: 'answerEnded', ...binding.ref });
     return true;
   }
 
-  /** The answer breaks its own announcement: the caller must not take it for whole. */
-  private fail(code: ResultCode): void {
+  /** Reports to the core that a response is longer or shorter than announced; the caller must not take it for complete. */
+  private reportBroken(code: ResultCode): void {
     const { requestId, emit } = this.options;
     emit({ type: 'answerBroken', requestId, code });
   }
 
   private handleClosed(): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isFinished) return;
+    this.isFinished = true;
     this.options.emit({ type: 'callerGone', requestId: this.options.requestId });
   }
 }
--- a/packages/daemon/src/adapters/headers.ts
+++ b/packages/daemon/src/adapters/headers.ts
@@ -1,4 +1,4 @@
-/** HTTP headers: those of the interface, and which of them travel on. */
+/** HTTP headers: those of the callers' interface, and which headers are forwarded. */
 
 /** Headers of the callers' interface, in lower case. */
 export const HEADER = {
@@ -10,7 +10,7 @@
   requestId: 'x-request-id',
 } as const;
 
-/** Headers that belong to one connection and never travel on (RFC 9110, section 7.6.1). */
+/** Headers that apply to a single connection and are never forwarded (RFC 9110, section 7.6.1). */
 const HOP_BY_HOP = new Set([
   'connection',
   'keep-alive',
@@ -25,11 +25,11 @@
   'expect',
 ]);
 
-/** Header names and values as they travel in frames. */
+/** Names and values of headers as frames contain them. */
 export type HeaderPairs = readonly (readonly [string, string])[];
 
 /**
- * Lists the headers that travel on, from Node's flat list of names and values.
+ * Returns the headers that are forwarded, from Node's flat list of names and values.
  *
  * @example listEndToEndHeaders(['Host', 'a', 'Accept', 'b']) // [['accept', 'b']]
  */
@@ -42,7 +42,7 @@
   return pairs;
 }
 
-/** Flattens parsed headers, as `undici` gives them, into those that travel on. */
+/** Converts headers as `undici` parses them to pairs, without those that are not forwarded. */
 export function flattenHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): HeaderPairs {
@@ -52,7 +52,7 @@
   return listEndToEndHeaders(raw);
 }
 
-/** Reads one header; undefined when absent. */
+/** Returns the value of a header, or undefined if it is absent. */
 export function readHeader(headers: HeaderPairs, name: string): string | undefined {
   return headers.find(([other]) => other === name)?.[1];
 }
--- a/packages/daemon/src/adapters/metrics.ts
+++ b/packages/daemon/src/adapters/metrics.ts
@@ -1,9 +1,9 @@
-/** Counters: kept for the status page and sent to StatsD where an address is set. */
+/** Counters, kept for the status of the box and sent to StatsD if an address is configured. */
 import type { CounterName } from '@hazelwalk/core';
 import { StatsD } from 'hot-shots';
 import { splitAddress } from './addresses.js';
 
-/** Counters that adapters raise themselves, beside the core's. */
+/** Counters that adapters increment themselves, in addition to those of the core. */
 export type AdapterCounter =
   | 'peer.frameTruncated'
   | 'peer.frameTooLarge'
@@ -13,10 +13,10 @@
   | 'platform.call'
   | 'request.accepted';
 
-/** Any counter's name. */
+/** Name of a counter of the core or of an adapter. */
 export type Counter = CounterName | AdapterCounter;
 
-/** Counts occurrences by name. */
+/** Counts events by name. */
 export class Metrics {
   private readonly counts = new Map<Counter, number>();
   private readonly statsd: StatsD | undefined;
@@ -33,18 +33,18 @@
     });
   }
 
-  /** Adds one. */
+  /** Increments a counter. */
   count(name: Counter): void {
     this.counts.set(name, (this.counts.get(name) ?? 0) + 1);
     this.statsd?.increment(name);
   }
 
-  /** Returns all counts so far. */
+  /** Returns all counters, sorted by name. */
   snapshot(): Record<string, number> {
     return Object.fromEntries([...this.counts].sort(([a], [b]) => a.localeCompare(b)));
   }
 
-  /** Sends what is buffered and closes the socket. */
+  /** Sends buffered metrics to StatsD and closes the socket. */
   close(): Promise<void> {
     const { statsd } = this;
     if (statsd === undefined) return Promise.resolve();
--- a/packages/daemon/src/adapters/peerLinks.ts
+++ b/packages/daemon/src/adapters/peerLinks.ts
@@ -1,6 +1,6 @@
 /**
- * Links to the other boxes: one TCP connection for each direction of each pair. This box sends on the connection it
- * made and hears on the one the peer made.
+ * Links to the other boxes: one TCP connection for each direction of each pair. This box sends on the connection that it
+ * opened and receives on the one that the peer opened.
  */
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
@@ -12,8 +12,8 @@
 import { listenOn, splitAddress } from './addresses.js';
 import type { AdapterCounter, Metrics } from './metrics.js';
 
-const RECONNECT_LEAST_MS = 100;
-const RECONNECT_MOST_MS = 2_000;
+const MIN_RECONNECT_MS = 100;
+const MAX_RECONNECT_MS = 2_000;
 
 interface OutgoingLink {
   readonly record: BoxRecord;
@@ -22,13 +22,13 @@
   timer: NodeJS.Timeout | undefined;
 }
 
-/** Bytes sent to peers, by kind. */
+/** Bytes sent to peers, by kind of traffic. */
 export interface PeerBytes {
   controlSent: number;
   requestSent: number;
 }
 
-/** What the links need from the daemon. */
+/** Identity of this box and callbacks of the daemon that the links use. */
 export interface PeerLinksOptions {
   readonly self: BoxRecord;
   readonly incarnation: string;
@@ -52,13 +52,13 @@
   });
 }
 
-/** Keeps links to peers and carries frames. */
+/** Keeps links to peers and sends and receives frames on them. */
 export class PeerLinks {
   readonly bytes: PeerBytes = { controlSent: 0, requestSent: 0 };
   private readonly server: Server;
   private readonly outgoing = new Map<BoxId, OutgoingLink>();
   private readonly incoming = new Map<BoxId, Socket>();
-  private readonly accepted = new Set<Socket>();
+  private readonly acceptedSockets = new Set<Socket>();
   private isClosed = false;
   private self: BoxRecord;
 
@@ -67,25 +67,25 @@
     this.server = createServer((socket) => this.acceptPeer(socket));
   }
 
-  /** Binds the peer listener; from then on this box introduces itself with the address it got. */
+  /** Binds the peer listener; from then on hello frames contain the address to which it is bound. */
   async listen(address: string): Promise<string> {
     const peerAddress = await listenOn(this.server, address);
     this.self = { ...this.self, peerAddress };
     return peerAddress;
   }
 
-  /** Keeps links to exactly these boxes, and to those that introduced themselves. */
+  /** Keeps links to exactly these boxes and to those that have connected to this one. */
   connectTo(records: readonly BoxRecord[]): void {
     const wanted = new Map(records.map((record) => [record.id, record]));
     for (const [id, link] of this.outgoing) {
       const record = wanted.get(id);
-      const isSame = record?.peerAddress === link.record.peerAddress;
-      if (!isSame && !(record === undefined && this.incoming.has(id))) this.dropLink(id, link);
+      const hasSameAddress = record?.peerAddress === link.record.peerAddress;
+      if (!hasSameAddress && !(record === undefined && this.incoming.has(id))) this.dropLink(id, link);
     }
     for (const record of records) this.openLink(record);
   }
 
-  /** Sends a frame; it is lost if the link is down, which the core learns from `peerDown`. */
+  /** Sends a frame. It is lost if the link is down, of which a `peerDown` event informs the core. */
   send(to: BoxId, frame: Frame): void {
     this.write(to, encodeFrame(frame), isControlTraffic(frame));
   }
@@ -97,27 +97,27 @@
     for (const id of to) this.write(id, packet, isControl);
   }
 
-  /** Closes everything, once what was sent has left: it may be this box's last word on its keys. */
+  /** Closes all links once the frames that were sent have left: the last one may hand over this box's keys. */
   async close(): Promise<void> {
     this.isClosed = true;
     this.server.close();
     const sockets = [...this.outgoing.values()].flatMap((link) => link.socket ?? []);
     await Promise.all(sockets.filter((socket) => !socket.connecting).map(endSocket));
     for (const [id, link] of this.outgoing) this.dropLink(id, link);
-    for (const socket of this.accepted) socket.destroy();
+    for (const socket of this.acceptedSockets) socket.destroy();
   }
 
   private write(to: BoxId, packet: Buffer, isControl: boolean): void {
     const socket = this.outgoing.get(to)?.socket;
     if (socket === undefined || socket.destroyed) return;
-    this.gather(socket);
+    this.corkForTurn(socket);
     socket.write(packet);
     if (isControl) this.bytes.controlSent += packet.length;
     else this.bytes.requestSent += packet.length;
   }
 
-  /** Frames of one turn of Node's loop leave in one system call. */
-  private gather(socket: Socket): void {
+  /** Corks the socket so that all frames of one turn of Node's event loop are written in a single system call. */
+  private corkForTurn(socket: Socket): void {
     if (socket.writableCorked > 0) return;
     socket.cork();
     setImmediate(() => socket.uncork());
@@ -128,14 +128,14 @@
     const link: OutgoingLink = {
       record,
       socket: undefined,
-      reconnectMs: RECONNECT_LEAST_MS,
+      reconnectMs: MIN_RECONNECT_MS,
       timer: undefined,
     };
     this.outgoing.set(record.id, link);
-    this.dial(link);
+    this.connectLink(link);
   }
 
-  private dial(link: OutgoingLink): void {
+  private connectLink(link: OutgoingLink): void {
     const { self } = this;
     const { incarnation } = this.options;
     const socket = connect({ ...splitAddress(link.record.peerAddress), noDelay: true });
@@ -143,11 +143,11 @@
     const hello: HelloFrame = { type: 'hello', protocolVersion: PROTOCOL_VERSION, incarnation, box: self };
     socket.write(encodeFrame(hello));
     socket.on('connect', () => {
-      link.reconnectMs = RECONNECT_LEAST_MS;
+      link.reconnectMs = MIN_RECONNECT_MS;
     });
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.handleOutgoingClosed(link, socket));
-    // Peers never write on a connection they accepted; reading notices when they close it.
+    // Peers never write on a connection that they accepted; reading from it detects when they close it.
     socket.resume();
   }
 
@@ -155,8 +155,8 @@
     if (link.socket !== socket || this.isClosed) return;
     link.socket = undefined;
     this.options.emit({ type: 'peerDown', boxId: link.record.id });
-    link.timer = setTimeout(() => this.dial(link), link.reconnectMs * (0.5 + Math.random()));
-    link.reconnectMs = Math.min(RECONNECT_MOST_MS, link.reconnectMs * 2);
+    link.timer = setTimeout(() => this.connectLink(link), link.reconnectMs * (0.5 + Math.random()));
+    link.reconnectMs = Math.min(MAX_RECONNECT_MS, link.reconnectMs * 2);
   }
 
   private dropLink(id: BoxId, link: OutgoingLink): void {
@@ -170,29 +170,29 @@
   private acceptPeer(socket: Socket): void {
     const decoder = new FrameDecoder();
     let peer: BoxId | undefined;
-    this.accepted.add(socket);
+    this.acceptedSockets.add(socket);
     socket.setNoDelay(true);
     socket.on('error', () => socket.destroy());
     socket.on('data', (chunk: Buffer) => {
       const frames = decoder.push(chunk);
-      if (frames.err) return this.refusePeer(socket, frames.val);
+      if (frames.err) return this.rejectPeer(socket, frames.val);
       for (const frame of frames.val) {
         if (socket.destroyed) return;
-        if (peer === undefined) peer = this.meetPeer(socket, frame);
-        else if (frame.type !== 'hello') this.deliver(peer, frame);
+        if (peer === undefined) peer = this.handleHello(socket, frame);
+        else if (frame.type !== 'hello') this.dispatchFrame(peer, frame);
       }
     });
     socket.on('close', () => {
-      this.accepted.delete(socket);
+      this.acceptedSockets.delete(socket);
       const end = decoder.finish();
-      if (end.err && !this.isClosed) this.report(end.val);
+      if (end.err && !this.isClosed) this.reportProblem(end.val);
       if (peer !== undefined) this.handleIncomingClosed(peer, socket);
     });
   }
 
-  private meetPeer(socket: Socket, frame: WireFrame): BoxId | undefined {
+  private handleHello(socket: Socket, frame: WireFrame): BoxId | undefined {
     if (frame.type !== 'hello') {
-      this.refusePeer(socket, {
+      this.rejectPeer(socket, {
         code: 'frameMalformed',
         at: 'peer',
         detail: 'the first frame is not a hello',
@@ -201,7 +201,7 @@
     }
     if (frame.protocolVersion !== PROTOCOL_VERSION) {
       const detail = `version ${frame.protocolVersion} from ${frame.box.id}, version ${PROTOCOL_VERSION} here`;
-      this.refusePeer(socket, { code: 'frameVersion', at: 'peer', detail });
+      this.rejectPeer(socket, { code: 'frameVersion', at: 'peer', detail });
       return undefined;
     }
     this.incoming.set(frame.box.id, socket);
@@ -210,7 +210,7 @@
     return frame.box.id;
   }
 
-  private deliver(from: BoxId, frame: Frame): void {
+  private dispatchFrame(from: BoxId, frame: Frame): void {
     if (isStreamFrame(frame)) this.options.onStreamFrame(from, frame);
     else this.options.emit({ type: 'frame', from, frame });
   }
@@ -221,12 +221,12 @@
     if (!this.isClosed) this.options.emit({ type: 'peerDown', boxId: peer });
   }
 
-  private refusePeer(socket: Socket, problem: Problem): void {
-    this.report(problem);
+  private rejectPeer(socket: Socket, problem: Problem): void {
+    this.reportProblem(problem);
     socket.destroy();
   }
 
-  private report(problem: Problem): void {
+  private reportProblem(problem: Problem): void {
     this.options.metrics.count(`peer.${problem.code}` as AdapterCounter);
     this.options.onProblem(problem);
   }
--- a/packages/daemon/src/adapters/platformWatch.ts
+++ b/packages/daemon/src/adapters/platformWatch.ts
@@ -1,18 +1,20 @@
 /**
- * Watches values of the platform's configuration service: one call after the other for each, at a pace that keeps what
- * this box knows confirmed.
+ * Watches values of the platform's configuration service by long polling: successive calls for each value, often enough that
+ * the values held by this box stay confirmed.
  */
 import type { ValueName } from '@hazelwalk/core';
 import type { EmitEvent } from '../coreLoop.js';
 import type { Metrics } from './metrics.js';
 import type { ReadValue } from './platformReader.js';
 
+/** Mean delay before the next call after a failed one. */
 const RETRY_MS = 1_000;
-/** Least time between two calls for one value, whatever the service answers. */
-const LEAST_INTERVAL_MS = 50;
+/** Minimum delay between two calls for one value, whatever the response. */
+const MIN_INTERVAL_MS = 50;
 /**
- * Calls that fit into a lease. An answer confirms a value as it was when its call began, so that it is replaced only after
- * two waits, and reaches other boxes a heartbeat later: the other half of the lease is for that and for a call that fails.
+ * Number of waits in a lease. A response confirms the value as of the start of its call, so a confirmation is replaced only
+ * after two waits and reaches other boxes a heartbeat later. The other half of the lease is left for that heartbeat and for a
+ * call that fails.
  */
 const CALLS_PER_LEASE = 4;
 
@@ -21,22 +23,22 @@
   readonly abort: AbortController;
 }
 
-/** What the watch needs from the daemon. */
+/** Settings and callbacks of the daemon that the watch uses. */
 export interface PlatformWatchOptions {
   readonly readValue: ReadValue;
-  /** An owner of keys acts on lists that were confirmed within this time. */
+  /** An owner of keys decides only by lists that were confirmed within this time. */
   readonly leaseMs: number;
   readonly emit: EmitEvent;
   readonly metrics: Pick<Metrics, 'count'>;
 }
 
-/** Watches some of the published values. */
+/** Watches a changing set of published values. */
 export class PlatformWatch {
   private readonly watches = new Map<ValueName, Watch>();
-  /** Of what was read last, watched still or not. */
+  /** Etag of the last value read for each name, also of names that are no longer watched. */
   private readonly etags = new Map<ValueName, string>();
   private readonly closed = new AbortController();
-  /** How long a call waits for a change; each answer confirms the value as it was when the call began. */
+  /** How long a call waits for a change; each response confirms the value as of the start of the call. */
   private readonly waitMs: number;
 
   constructor(private readonly options: PlatformWatchOptions) {
@@ -50,10 +52,10 @@
       watch.abort.abort();
       this.watches.delete(name);
     }
-    for (const name of names) if (!this.watches.has(name)) this.start(name);
+    for (const name of names) if (!this.watches.has(name)) this.startWatch(name);
   }
 
-  /** Asks at once, beside the calls that wait for a change, whether these values are still as they were read. */
+  /** Checks immediately, in addition to the waiting calls, whether these values are still as they were read. */
   confirm(names: readonly ValueName[]): void {
     for (const name of names) void this.readOnce(name, 0, this.closed.signal);
   }
@@ -64,7 +66,7 @@
     this.closed.abort();
   }
 
-  private start(name: ValueName): void {
+  private startWatch(name: ValueName): void {
     const watch: Watch = { name, abort: new AbortController() };
     this.watches.set(name, watch);
     void this.poll(watch);
@@ -74,39 +76,42 @@
     const { signal } = watch.abort;
     while (!signal.aborted) {
       const ok = await this.readOnce(watch.name, this.waitMs, signal);
-      // A signal that was given before tells nobody any more: the pause would last its whole time.
+      // A signal that is already aborted fires no event, so the sleep would last its full time.
       if (signal.aborted) return;
-      await pause(ok ? LEAST_INTERVAL_MS : RETRY_MS * (0.5 + Math.random()), signal);
+      await sleep(ok ? MIN_INTERVAL_MS : RETRY_MS * (0.5 + Math.random()), signal);
     }
   }
 
-  /** Makes one call and tells what came of it. Returns whether the platform answered. */
+  /** Makes one call and emits its result as events. Returns whether the platform responded. */
   private async readOnce(name: ValueName, waitMs: number, signal: AbortSignal): Promise<boolean> {
     const { readValue, emit, metrics } = this.options;
     metrics.count('platform.call');
-    const askedAtMs = Date.now();
+    const requestedAtMs = Date.now();
     const etag = this.etags.get(name) ?? '';
-    const reading = await readValue({ name, etag, waitMs, signal });
-    const ok = reading.type !== 'failed';
+    const result = await readValue({ name, etag, waitMs, signal });
+    const ok = result.type !== 'failed';
     if (signal.aborted) return ok;
-    if (reading.type === 'changed') {
-      this.etags.set(name, reading.etag);
-      emit({ type: 'valueRead', name, text: reading.text });
+    if (result.type === 'changed') {
+      this.etags.set(name, result.etag);
+      emit({ type: 'valueRead', name, text: result.text });
     }
-    emit({ type: 'platformContact', name, ok, requestedAtMs: askedAtMs });
+    emit({ type: 'platformContact', name, ok, requestedAtMs });
     return ok;
   }
 }
 
-/** Waits, or until the signal. The signal lasts as long as its value is watched: nothing may stay behind on it. */
-function pause(ms: number, signal: AbortSignal): Promise<void> {
+/**
+ * Waits for a time or until the signal is aborted. The signal lives as long as its value is watched, so the listener is
+ * removed after each wait.
+ */
+function sleep(ms: number, signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
-    const end = (): void => {
+    const finish = (): void => {
       clearTimeout(timer);
-      signal.removeEventListener('abort', end);
+      signal.removeEventListener('abort', finish);
       resolve();
     };
-    const timer = setTimeout(end, ms);
-    signal.addEventListener('abort', end);
+    const timer = setTimeout(finish, ms);
+    signal.addEventListener('abort', finish);
   });
 }
--- a/packages/daemon/src/adapters/problemJson.ts
+++ b/packages/daemon/src/adapters/problemJson.ts
@@ -1,4 +1,4 @@
-/** Refusals as callers see them: problem+json (RFC 9457) with the numbered code, `ran` and Retry-After. */
+/** Refusals as callers receive them: problem+json (RFC 9457) with the numbered code, `ran` and Retry-After. */
 import { STATUS_CODES } from 'node:http';
 import type { ServerResponse } from 'node:http';
 import type { Refusal } from '@hazelwalk/core';
@@ -6,24 +6,24 @@
 
 const MS_PER_SECOND = 1_000;
 
-function isWorthReturning(status: number): boolean {
+function isRetryable(status: number): boolean {
   return status === 429 || status >= 500;
 }
 
-/** Answers with a refusal. The connection is closed after it if the caller's body was not read to its end. */
+/** Sends a refusal. The connection is closed after it if `closes` is set: the caller's body was not read to its end. */
 export function sendProblem(res: ServerResponse, refusal: Refusal, requestId: string, closes: boolean): void {
   const body = createProblemBody(refusal, requestId);
   res.statusCode = body.status;
   res.setHeader('content-type', PROBLEM_CONTENT_TYPE);
   res.setHeader('x-request-id', requestId);
-  if (isWorthReturning(body.status)) {
+  if (isRetryable(body.status)) {
     res.setHeader('retry-after', String(Math.ceil(refusal.retryAfterMs / MS_PER_SECOND)));
   }
   if (closes) res.setHeader('connection', 'close');
   res.end(JSON.stringify(body));
 }
 
-/** Formats a refusal as a raw response, for a connection whose request could not even be parsed. */
+/** Formats a refusal as a raw HTTP response, for a request that could not be parsed. */
 export function formatRawProblem(refusal: Refusal): string {
   const body = createProblemBody(refusal, '');
   const text = JSON.stringify(body);
--- a/packages/daemon/src/adapters/streams.ts
+++ b/packages/daemon/src/adapters/streams.ts
@@ -1,20 +1,21 @@
 /**
- * Flow control of the bodies that travel between boxes: a window of bytes, refilled by credit as they are passed on.
+ * Credit-based flow control of bodies that are streamed between boxes: a sender may have a window of bytes in flight, and the
+ * receiver returns credit for the bytes that it has forwarded.
  */
 import type { AttemptRef, StreamFrame, StreamSide } from '@hazelwalk/core';
 
-/** Bytes that may be on their way on one stream. */
+/** Bytes that may be in flight on one stream. */
 export const WINDOW_BYTES = 256 * 1024;
-/** Credit is returned once this much was passed on. */
+/** Credit is returned each time this many bytes have been forwarded. */
 const CREDIT_STEP_BYTES = WINDOW_BYTES / 4;
 
-/** Sends a stream frame to the other end. */
+/** Sends a stream frame to the other end of the stream. */
 export type SendStreamFrame = (frame: StreamFrame) => void;
 
-/** The sending end of a body: numbers its pieces and says when to pause. */
+/** The sending end of a body: numbers its data frames and reports when the source must pause. */
 export class StreamSender {
   private nextSeq = 0;
-  private inWindowBytes = 0;
+  private unacknowledgedBytes = 0;
 
   constructor(
     private readonly ref: AttemptRef,
@@ -22,32 +23,32 @@
     private readonly send: SendStreamFrame,
   ) {}
 
-  /** Sends a piece. Returns false when the source must pause until `addCredit` returns true. */
+  /** Sends one data frame. Returns false if the source must pause until `addCredit` returns true. */
   write(bytes: Uint8Array): boolean {
     const { requestId, attempt } = this.ref;
     this.send({ type: 'data', requestId, attempt, side: this.side, seq: this.nextSeq, bytes });
     this.nextSeq += 1;
-    this.inWindowBytes += bytes.length;
-    return this.inWindowBytes < WINDOW_BYTES;
+    this.unacknowledgedBytes += bytes.length;
+    return this.unacknowledgedBytes < WINDOW_BYTES;
   }
 
-  /** Marks the body as whole. */
+  /** Marks the body as complete. */
   end(): void {
     const { requestId, attempt } = this.ref;
     this.send({ type: 'end', requestId, attempt, side: this.side, count: this.nextSeq });
   }
 
-  /** Notes bytes that were passed on. Returns whether the source may go on. */
+  /** Adds credit for forwarded bytes. Returns whether the source may resume. */
   addCredit(bytes: number): boolean {
-    this.inWindowBytes -= bytes;
-    return this.inWindowBytes < WINDOW_BYTES;
+    this.unacknowledgedBytes -= bytes;
+    return this.unacknowledgedBytes < WINDOW_BYTES;
   }
 }
 
-/** The receiving end of a body: checks that no piece is missing and returns credit. */
+/** The receiving end of a body: checks that no data frame is missing and returns credit. */
 export class StreamReceiver {
   private nextSeq = 0;
-  private owedBytes = 0;
+  private unreturnedBytes = 0;
 
   constructor(
     private readonly ref: AttemptRef,
@@ -55,24 +56,24 @@
     private readonly send: SendStreamFrame,
   ) {}
 
-  /** Whether this is the next piece; any other is late, doubled or follows a gap. */
+  /** Accepts the next data frame. Returns false for any other frame: it is late, a duplicate or follows a gap. */
   acceptPiece(seq: number): boolean {
     if (seq !== this.nextSeq) return false;
     this.nextSeq += 1;
     return true;
   }
 
-  /** Whether a body of so many pieces has arrived whole. */
+  /** Whether all of the `count` data frames of the body have arrived. */
   isComplete(count: number): boolean {
     return count === this.nextSeq;
   }
 
-  /** Notes bytes passed on, and returns credit when enough has gathered. */
+  /** Records forwarded bytes and returns credit for them once they reach a step. */
   returnCredit(bytes: number): void {
-    this.owedBytes += bytes;
-    if (this.owedBytes < CREDIT_STEP_BYTES) return;
+    this.unreturnedBytes += bytes;
+    if (this.unreturnedBytes < CREDIT_STEP_BYTES) return;
     const { requestId, attempt } = this.ref;
-    this.send({ type: 'credit', requestId, attempt, side: this.side, bytes: this.owedBytes });
-    this.owedBytes = 0;
+    this.send({ type: 'credit', requestId, attempt, side: this.side, bytes: this.unreturnedBytes });
+    this.unreturnedBytes = 0;
   }
 }
--- a/packages/daemon/src/box.ts
+++ b/packages/daemon/src/box.ts
@@ -1,5 +1,5 @@
 /**
- * One box: the core's loop with its adapters around it.
+ * One box: the core loop and the adapters that connect it to sockets, timers and the platform.
  */
 import type { BoxRecord, Effect, EndpointId, StreamFrame, World } from '@hazelwalk/core';
 import { createHasher, createWorld, formatTicket, isReady } from '@hazelwalk/core';
@@ -23,14 +23,14 @@
 
 const RADIX = 36;
 
-/** Addresses that a box got, with ports chosen by the system filled in. */
+/** Addresses that a box is bound to, with the ports that the system chose. */
 export interface BoundAddresses {
   readonly caller: string;
   readonly peer: string;
   readonly admin: string;
 }
 
-/** A box that runs until it is stopped. */
+/** Runs one box until it is stopped. */
 export class Box {
   private readonly loop: CoreLoop;
   private readonly metrics: Metrics;
@@ -58,7 +58,7 @@
     private readonly logger: Logger<unknown>,
   ) {
     this.metrics = new Metrics(settings.statsdAddress, settings.boxId);
-    this.loop = new CoreLoop(world, (effect) => this.carryOut(effect));
+    this.loop = new CoreLoop(world, (effect) => this.applyEffect(effect));
     const { emit } = this.loop;
     const { metrics } = this;
     const send = (to: string, frame: StreamFrame): void => this.sendStreamFrame(to, frame);
@@ -98,7 +98,7 @@
     });
   }
 
-  /** Creates a box from its settings; nothing is bound yet. */
+  /** Creates a box from its settings without binding its listeners. */
   static async create(settings: BoxSettings, logger: Logger<unknown>): Promise<Box> {
     const nowMs = Date.now();
     const incarnation = nowMs.toString(RADIX);
@@ -108,24 +108,24 @@
     return new Box(world, settings, { id: boxId, hall, peerAddress, state: 'live' }, logger);
   }
 
-  /** Binds the listeners and starts the loop. Rejects if an address is taken. */
+  /** Binds the listeners and starts the loop. Rejects if an address is in use. */
   async start(): Promise<BoundAddresses> {
     const { settings } = this;
     const running = this.loop.run();
-    running.catch((error: unknown) => this.failHard(error));
+    running.catch((error: unknown) => this.exitOnFailure(error));
     const peer = await this.peers.listen(settings.peerAddress);
     const admin = await this.admin.listen(settings.adminAddress);
     const caller = await this.callers.listen(settings.callerAddress);
-    this.askSeeds();
+    this.connectToSeeds();
     return { caller, peer, admin };
   }
 
-  /** Begins a planned stop; `stopped` settles when it is complete. */
+  /** Starts a planned stop; `stopped` settles when it is complete. */
   requestStop(): void {
     this.loop.emit({ type: 'stopRequested' });
   }
 
-  /** Closes everything at once. */
+  /** Stops the loop and closes all adapters without draining. */
   async close(): Promise<void> {
     this.loop.stop();
     this.platform.close();
@@ -142,8 +142,8 @@
     return readBoxStatus(this.world, this.metrics, this.peers.bytes, this.control.bytes);
   }
 
-  /** Introducing itself is enough: a seed dials back and tells what it knows. */
-  private askSeeds(): void {
+  /** Connecting is enough: a seed that gets the hello frame connects back, and the core then requests the values it holds. */
+  private connectToSeeds(): void {
     const seeds = this.settings.seedAddresses.filter((address) => address !== this.settings.peerAddress);
     if (seeds.length === 0) return;
     this.peers.connectTo(
@@ -168,7 +168,7 @@
     return formatTicket(boxId, incarnation, this.nextTicket);
   }
 
-  /** Only calls that may be repeated share connections: a shared one can die with a request half sent. */
+  /** Only calls that may be repeated share connections: a shared connection can break with a request half sent. */
   private mayShareConnection(name: string): boolean {
     const service = this.world.declared?.services.get(name);
     return service?.kind === 'model' || service?.repeat === 'safe';
@@ -180,19 +180,19 @@
   }
 
   private routeStreamFrame(from: string, frame: StreamFrame): void {
-    const isForSteward =
+    const isForOwner =
       frame.type !== 'answerHead' && (frame.side === 'request') !== (frame.type === 'credit');
-    const isTaken = isForSteward
+    const isHandled = isForOwner
       ? this.calls.handleFrame(frame)
       : (this.sinks.get(frame.requestId)?.handleFrame(from, frame) ?? false);
-    if (!isTaken) this.metrics.count('stream.foreign');
+    if (!isHandled) this.metrics.count('stream.foreign');
   }
 
-  private bind(requestId: string, attempt: number, steward: string, endpointId: EndpointId): void {
-    this.sinks.get(requestId)?.bind({ requestId, attempt }, steward, endpointId);
+  private bind(requestId: string, attempt: number, ownerId: string, endpointId: EndpointId): void {
+    this.sinks.get(requestId)?.bind({ requestId, attempt }, ownerId, endpointId);
   }
 
-  private carryOut(effect: Effect): void {
+  private applyEffect(effect: Effect): void {
     switch (effect.type) {
       case 'send':
         return this.peers.send(effect.to, effect.frame);
@@ -229,8 +229,8 @@
     }
   }
 
-  /** A failure of the core leaves the tables in doubt: better no box than a wrong one. */
-  private failHard(error: unknown): void {
+  /** Exits on a failure of the core, which may leave its tables inconsistent: no box is better than one that routes wrongly. */
+  private exitOnFailure(error: unknown): void {
     this.logger.error('the core failed; the box stops', error);
     process.exit(1);
   }
--- a/packages/daemon/src/boxStatus.ts
+++ b/packages/daemon/src/boxStatus.ts
@@ -1,21 +1,23 @@
 /**
- * What a box tells operators: what is in force, whom it sees, what it looks after, and what it refused.
+ * Status of a box as the admin server reports it: the revision in force, live boxes, endpoints and their owners, counters of
+ * refusals and retries. The fields are the JSON of the admin server and keep their names.
  */
 import type { EndpointId, World } from '@hazelwalk/core';
 import { directoryKey, findHomeBox, isReady, rankCandidates, readLoad } from '@hazelwalk/core';
 import type { Metrics } from './adapters/metrics.js';
 import type { PeerBytes } from './adapters/peerLinks.js';
 
-/** One endpoint in a status. */
+/** One endpoint in a box's status. */
 export interface EndpointStatus {
   readonly id: EndpointId;
+  /** Id of the box that owns the endpoint. */
   readonly steward: string | null;
   readonly load: number;
   readonly waiting: number;
   readonly state: 'live' | 'leaving' | 'absent' | 'ejected' | 'onTrial';
 }
 
-/** One box's status. */
+/** Status of one box. */
 export interface BoxStatus {
   readonly boxId: string;
   readonly hall: string;
@@ -59,7 +61,7 @@
   return world.nowMs < row.trustedFromMs ? 'onTrial' : 'live';
 }
 
-/** Reads a box's status from its tables. */
+/** Builds the status of a box from the core's tables. */
 export function readBoxStatus(
   world: World,
   metrics: Metrics,
@@ -92,14 +94,17 @@
   };
 }
 
-/** Where a chat would go and why, as this box sees it. */
+/** How this box would place a chat, and why. The fields are the JSON of the admin server and keep their names. */
 export interface ChatExplanation {
   readonly chat: string;
   readonly model: string;
+  /** Id of the chat's home box, the partition owner of its directory entry. */
   readonly home: string | null;
-  /** Whether the asked box keeps the chat's directory entry itself. */
+  /** Whether this box is the chat's home box. */
   readonly isHome: boolean;
+  /** Engines that have the chat's prefix cached. */
   readonly warm: readonly EndpointId[];
+  /** Candidates in the order in which they are tried. */
   readonly candidates: readonly {
     readonly id: EndpointId;
     readonly steward: string | null;
@@ -108,7 +113,7 @@
   readonly problem: string | null;
 }
 
-/** Explains a chat's placement. */
+/** Explains the placement of a chat. */
 export function explainChat(world: World, model: string, chat: string): ChatExplanation {
   const service = world.declared?.services.get(model);
   const home = findHomeBox(world, model, chat) ?? null;
--- a/packages/daemon/src/coreLoop.ts
+++ b/packages/daemon/src/coreLoop.ts
@@ -1,30 +1,30 @@
 /**
- * The one loop on one thread: every input is merged into one `most` stream, each event is a turn of the core, and the
- * turn's effects go to the adapters.
+ * The event loop of a box, on a single thread: all inputs are merged into one `most` stream, each event runs one turn of the
+ * core, and the effects of the turn are passed to the adapters.
  */
 import type { CoreEvent, Effect, World } from '@hazelwalk/core';
 import { runTurn, SynchronousSource } from '@hazelwalk/core';
 import { mergeArray, periodic, Stream } from 'most';
 
-/** Pace of turns when nothing happens. */
+/** Interval of tick events, which run a turn while there is no other input. */
 const TICK_MS = 50;
 
-/** Where an adapter puts what it saw. */
+/** Passes an event from an adapter to the core. */
 export type EmitEvent = (event: CoreEvent) => void;
 
 /** Runs the core over a merged stream of inputs. */
 export class CoreLoop {
   private readonly inputs = new SynchronousSource<CoreEvent>();
-  private readonly ends = new SynchronousSource<void>();
+  private readonly stopSignal = new SynchronousSource<void>();
   private readonly queue: CoreEvent[] = [];
   private isInTurn = false;
 
   constructor(
     private readonly world: World,
-    private readonly carryOut: (effect: Effect) => void,
+    private readonly applyEffect: (effect: Effect) => void,
   ) {}
 
-  /** Adds an input. It is handled before this call returns, unless a turn is under way. */
+  /** Adds an input. It is handled before this call returns, or after the current turn if one is running. */
   readonly emit: EmitEvent = (event) => {
     this.inputs.push(event);
   };
@@ -34,17 +34,17 @@
     const ticks = periodic(TICK_MS).map((): CoreEvent => ({ type: 'tick' }));
     const inputs = new Stream(this.inputs);
     return mergeArray([inputs, ticks])
-      .until(new Stream(this.ends))
-      .observe((event) => this.accept(event)) as Promise<void>;
+      .until(new Stream(this.stopSignal))
+      .observe((event) => this.handleInput(event)) as Promise<void>;
   }
 
-  /** Ends the stream of inputs. */
+  /** Ends the input stream. */
   stop(): void {
-    this.ends.push();
+    this.stopSignal.push();
   }
 
-  /** Effects may lead to further events at once; those wait for the turn to end, so that turns never nest. */
-  private accept(event: CoreEvent): void {
+  /** An effect may emit further events synchronously; they are queued until the turn has ended, so that turns never nest. */
+  private handleInput(event: CoreEvent): void {
     this.queue.push(event);
     if (this.isInTurn) return;
     this.isInTurn = true;
@@ -58,7 +58,7 @@
   private drainQueue(): void {
     for (let event = this.queue.shift(); event !== undefined; event = this.queue.shift()) {
       const effects = runTurn(this.world, [event], Date.now());
-      for (const effect of effects) this.carryOut(effect);
+      for (const effect of effects) this.applyEffect(effect);
     }
   }
 }
--- a/packages/daemon/src/exitCodes.ts
+++ b/packages/daemon/src/exitCodes.ts
@@ -1,4 +1,4 @@
-/** Exit codes of the programs. */
+/** Exit codes of the daemon. */
 export const EXIT_CODE = {
   ok: 0,
   failed: 1,
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -11,10 +11,10 @@
 import { EXIT_CODE } from './exitCodes.js';
 
 const LOG_LEVELS = { debug: 2, info: 3, warn: 4, error: 5 } as const;
-/** A planned stop that callers' connections hold up is ended after this. */
+/** Limit on closing the listeners after a planned stop, as connections that callers keep open would delay the exit. */
 const CLOSE_TIMEOUT_MS = 2_000;
 
-/** Flags that go over the settings file, by the name of the setting. */
+/** Flags that override the settings file, by the name of the setting. */
 const BOX_FLAGS = {
   boxId: { type: 'string', describe: 'name of the box' },
   hall: { type: 'string', describe: 'hall of the box' },
