--- a/packages/daemon/src/__fixtures__/smallDeployment.ts
+++ b/packages/daemon/src/__fixtures__/smallDeployment.ts
@@ -1,4 +1,4 @@
-/** A small deployment of real processes for tests, and callers for it. */
+/** A small deployment of real processes for tests, and functions that send requests to it as callers. */
 import type { DeploymentSpec } from '@hazelwalk/standins';
 import { DEPLOYMENTS } from '@hazelwalk/standins';
 
@@ -12,7 +12,7 @@
   engineFlags: ['--tokens', '6', '--tokenMs', '5', '--coldMs', '0'],
 };
 
-/** What a caller got. */
+/** A response as a caller received it. */
 export interface CallerResponse {
   readonly status: number;
   readonly text: string;
@@ -25,17 +25,17 @@
   readonly ran: string;
 }
 
-/** Sends a chat turn. */
+/** Sends a chat request. */
 export async function sendChat(
   caller: string,
   body: Record<string, unknown> | string = {},
   headers: Record<string, string> = {},
 ): Promise<CallerResponse> {
-  const usual = { model: 'assistant', stream: true, messages: [{ role: 'user', content: 'hello' }] };
+  const defaults = { model: 'assistant', stream: true, messages: [{ role: 'user', content: 'hello' }] };
   const response = await fetch(`http://${caller}/v1/chat/completions`, {
     method: 'POST',
     headers: { 'hazelwalk-team': 'hospital', 'content-type': 'application/json', ...headers },
-    body: typeof body === 'string' ? body : JSON.stringify({ ...usual, ...body }),
+    body: typeof body === 'string' ? body : JSON.stringify({ ...defaults, ...body }),
   });
   return { status: response.status, text: await response.text(), headers: response.headers };
 }
@@ -54,7 +54,7 @@
   return { status: response.status, text: await response.text(), headers: response.headers };
 }
 
-/** Reads a refusal's body. */
-export function parseProblem(answer: CallerResponse): ProblemBody {
-  return JSON.parse(answer.text) as ProblemBody;
+/** Parses the body of a refusal. */
+export function parseProblem(response: CallerResponse): ProblemBody {
+  return JSON.parse(response.text) as ProblemBody;
 }
--- a/packages/daemon/src/__fixtures__/virtualKeyFleet.ts
+++ b/packages/daemon/src/__fixtures__/virtualKeyFleet.ts
@@ -1,6 +1,7 @@
 /**
- * A fleet in virtual time: the core and the platform watch as they ship, over links, a platform and an endpoint that only
- * take time. Needs Jest's fake timers. Callers ask every box for a fresh key of their own at a fixed pace.
+ * A fleet in virtual time: the shipped core and platform watch over simulated links, a simulated platform and a simulated
+ * endpoint, which only add delays. Needs Jest's fake timers. Callers send each box a call with a new key of their own at a
+ * fixed interval.
  */
 import { readFileSync } from 'node:fs';
 import { valueParsers } from '@hazelwalk/config';
@@ -12,21 +13,21 @@
 
 const HALL = 'mixco';
 const TICK_MS = 50;
-const ASK_INTERVAL_MS = 10;
+const REQUEST_INTERVAL_MS = 10;
 const CALL_MS = 5;
 const DECLARED_FILE = 'examples/lavanda/declared.toml';
 
-/** How long things take; a test may change them while the fleet runs. */
+/** Delays of links and platform, and whether the platform is up; a test may change them while the fleet runs. */
 export interface VirtualTiming {
-  /** One way between boxes; undefined loses the frame. */
+  /** One-way delay between two boxes; undefined drops the frame. */
   linkMs: (from: BoxId, to: BoxId) => number | undefined;
-  /** What a call to the platform takes beside its wait. */
+  /** Duration of a call to the platform in addition to its wait. */
   platformMs: () => number;
-  /** A platform that is down fails each call at once, also those that wait. */
+  /** While the platform is down, each call fails at once, also calls that are waiting. */
   isPlatformUp: boolean;
 }
 
-/** A refusal that a caller got. */
+/** A refusal that a caller received. */
 export interface ReceivedRefusal {
   readonly atMs: number;
   readonly entry: BoxId;
@@ -38,11 +39,11 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** One box; while it stands still, what happens to it waits. */
+/** One box; while it is paused, its events are queued. */
 class VirtualBox {
-  private readonly held: CoreEvent[] = [];
+  private readonly queue: CoreEvent[] = [];
   private readonly watch: PlatformWatch;
-  private standsStillUntilMs = 0;
+  private pausedUntilMs = 0;
   private isInTurn = false;
 
   constructor(
@@ -51,10 +52,10 @@
     private readonly fleet: VirtualKeyFleet,
   ) {
     const readValue = async (query: ValueQuery): Promise<ValueReadResult> => {
-      await this.stand();
-      const reading = await fleet.readValue(query);
-      await this.stand();
-      return reading;
+      await this.waitWhilePaused();
+      const result = await fleet.readValue(query);
+      await this.waitWhilePaused();
+      return result;
     };
     const { keyLeaseMs: leaseMs } = world.settings;
     const emit = (event: CoreEvent): void => this.emit(event);
@@ -62,33 +63,33 @@
     setInterval(() => this.emit({ type: 'tick' }), TICK_MS);
   }
 
-  /** Takes an event, now or when the box goes on. */
+  /** Queues an event and handles it now, or when the box resumes. */
   emit(event: CoreEvent): void {
-    this.held.push(event);
-    if (Date.now() >= this.standsStillUntilMs) this.drain();
+    this.queue.push(event);
+    if (Date.now() >= this.pausedUntilMs) this.drain();
   }
 
-  /** Nothing runs on this box for a while. */
+  /** Pauses the box: it handles no event for this time. */
   pause(ms: number): void {
-    this.standsStillUntilMs = Date.now() + ms;
+    this.pausedUntilMs = Date.now() + ms;
     setTimeout(() => this.drain(), ms);
   }
 
-  private async stand(): Promise<void> {
-    const leftMs = this.standsStillUntilMs - Date.now();
-    if (leftMs > 0) await wait(leftMs);
+  private async waitWhilePaused(): Promise<void> {
+    const remainingPauseMs = this.pausedUntilMs - Date.now();
+    if (remainingPauseMs > 0) await wait(remainingPauseMs);
   }
 
   private drain(): void {
     if (this.isInTurn) return;
     this.isInTurn = true;
-    for (let event = this.held.shift(); event !== undefined; event = this.held.shift()) {
-      for (const effect of runTurn(this.world, [event], Date.now())) this.carryOut(effect);
+    for (let event = this.queue.shift(); event !== undefined; event = this.queue.shift()) {
+      for (const effect of runTurn(this.world, [event], Date.now())) this.applyEffect(effect);
     }
     this.isInTurn = false;
   }
 
-  private carryOut(effect: Effect): void {
+  private applyEffect(effect: Effect): void {
     switch (effect.type) {
       case 'send':
         return this.fleet.send(this.id, effect.to, { type: 'frame', from: this.id, frame: effect.frame });
@@ -107,7 +108,7 @@
         return this.fleet.send(this.id, effect.requester.entry, { type: 'answerEnded', ...effect.requester });
       case 'refuseCaller':
         return this.fleet.recordRefusal(this.id, effect.requestId, effect.refusal);
-      // Links are up from the start, answers need no sink, and no endpoint is read.
+      // Not simulated: links are up from the start, responses need no sink, and endpoint reports are not read.
       case 'connectPeers':
       case 'watchEndpoints':
       case 'cancelCall':
@@ -129,7 +130,7 @@
   }
 }
 
-/** Some boxes of one hall, their platform and their callers. */
+/** Several boxes of one hall with their platform and their callers. */
 export class VirtualKeyFleet {
   readonly boxes: VirtualBox[] = [];
   readonly refusals: ReceivedRefusal[] = [];
@@ -142,7 +143,7 @@
     readonly timing: VirtualTiming,
   ) {}
 
-  /** Starts the boxes; their lists are published a little later. */
+  /** Starts the boxes, then publishes their lists. */
   static async create(boxCount: number, overrides: Partial<CoreSettings> = {}): Promise<VirtualKeyFleet> {
     const settings = { ...DEFAULT_CORE_SETTINGS, ...overrides };
     const fleet = new VirtualKeyFleet(settings, { linkMs: () => 1, platformMs: () => 2, isPlatformUp: true });
@@ -161,19 +162,19 @@
     return fleet;
   }
 
-  /** The box of that place, from 1. */
-  findBox(place: number): VirtualBox {
-    const box = this.boxes[place - 1];
-    if (box === undefined) throw new Error(`no box ${place}`);
+  /** Returns a box by its position, counted from 1. */
+  findBox(position: number): VirtualBox {
+    const box = this.boxes[position - 1];
+    if (box === undefined) throw new Error(`no box ${position}`);
     return box;
   }
 
-  /** Every box is asked for fresh keys from now on. */
+  /** Starts to send each box calls with new keys. */
   startCallers(): void {
-    setInterval(() => this.boxes.forEach((box) => this.ask(box)), ASK_INTERVAL_MS);
+    setInterval(() => this.boxes.forEach((box) => this.sendRequest(box)), REQUEST_INTERVAL_MS);
   }
 
-  /** What a platform that keeps its word answers: at once if the value is another, else once the wait is over. */
+  /** Responds as the platform should: at once if the value differs from the known one, otherwise when the wait ends. */
   async readValue({ name, etag, waitMs }: ValueQuery): Promise<ValueReadResult> {
     const text = this.published.get(name) ?? '';
     const isKnown = etag === name;
@@ -182,20 +183,20 @@
     return isKnown ? { type: 'unchanged' } : { type: 'changed', text, etag: name };
   }
 
-  /** Brings an event to a box over the link. */
+  /** Delivers an event to a box over the link. */
   send(from: BoxId, to: BoxId, event: CoreEvent): void {
     const linkMs = from === to ? 0 : this.timing.linkMs(from, to);
     const box = this.boxes.find(({ id }) => id === to);
     if (linkMs !== undefined) setTimeout(() => box?.emit(event), linkMs);
   }
 
-  /** A caller was refused. */
+  /** Records the refusal of a call. */
   recordRefusal(entry: BoxId, requestId: string, refusal: Refusal): void {
     const key = this.keys.get(requestId);
     if (key !== undefined) this.refusals.push({ atMs: Date.now(), entry, key, refusal });
   }
 
-  private ask(box: VirtualBox): void {
+  private sendRequest(box: VirtualBox): void {
     this.requestCount += 1;
     const key = createUuid(Date.now(), this.requestCount);
     const requestId = `${box.id}.ask.${this.requestCount}`;
@@ -209,7 +210,7 @@
   return `${hex.slice(0, 8)}-${hex.slice(8)}-7000-8000-${serial.toString(16).padStart(12, '0')}`;
 }
 
-/** When a caller made a key. */
+/** Returns the creation time that a key contains. */
 export function parseKeyTimeMs(key: string): number {
   return parseInt(key.slice(0, 8) + key.slice(9, 13), 16);
 }
--- a/packages/daemon/src/__tests__/failures.test.ts
+++ b/packages/daemon/src/__tests__/failures.test.ts
@@ -1,4 +1,6 @@
-/** Failures of real processes: kills, freezes, cuts from the platform. Evidence is what endpoints counted. */
+/**
+ * Failures of real processes: killed and paused boxes, a platform that is down. What endpoints counted shows which calls ran.
+ */
 import { Deployment, waitFor } from '@hazelwalk/standins';
 import type { BoxHandle, EndpointHandle } from '@hazelwalk/standins';
 import { sendChat, callService, parseProblem, SMALL_DEPLOYMENT } from '../__fixtures__/smallDeployment.js';
@@ -34,7 +36,7 @@
   return box;
 }
 
-async function findSteward(endpointId: string): Promise<BoxHandle> {
+async function findEndpointOwner(endpointId: string): Promise<BoxHandle> {
   const [box] = deployment.boxes;
   if (box === undefined) throw new Error('no box');
   const status = await deployment.readStatus<BoxStatus>(box);
@@ -62,46 +64,46 @@
   return callService(box.caller, 'booking/pickups', { body: 'linen', headers });
 }
 
-/** Boxes run timed keys only once they have owned them for the margin. */
+/** Waits until boxes have owned their timed keys for the margin, before which they run none. */
 async function waitUntilKeysRun(): Promise<void> {
   let serial = 1_000;
   await waitFor(async () => {
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       Array.from({ length: 6 }, () => book(pickOther(), createUuid(Date.now(), serial++))),
     );
-    return answers.every((answer) => answer.status === 200);
+    return responses.every((response) => response.status === 200);
   });
 }
 
-test('a ticket asked for at every box at once runs once, and all get its answer', async () => {
+test('a ticket sent to every box at once runs once, and all requesters get its response', async () => {
   const key = await createTicket(pickOther());
-  const answers = await Promise.all(deployment.boxes.map((box) => book(box, key)));
-  expect(answers.map(({ status, text }) => [status, text])).toEqual(
+  const responses = await Promise.all(deployment.boxes.map((box) => book(box, key)));
+  expect(responses.map(({ status, text }) => [status, text])).toEqual(
     Array(3).fill([200, JSON.stringify({ confirmed: true, runs: 1, received: 5 })]),
   );
   expect((await readRuns())[key]).toBe(1);
 });
 
-test('a ticket whose box was killed is unknown for good', async () => {
+test('after the box that issued a ticket was killed, the ticket stays unknown', async () => {
   const owner = pickOther();
   const key = await createTicket(owner);
   await deployment.endBox(owner, 'SIGKILL');
-  const asked = await book(pickOther(), key);
-  expect(parseProblem(asked)).toMatchObject({ ran: 'unknown' });
+  const response = await book(pickOther(), key);
+  expect(parseProblem(response)).toMatchObject({ ran: 'unknown' });
   expect((await readRuns())[key]).toBeUndefined();
 });
 
-test("callers' own keys run once, whichever boxes are asked and however often", async () => {
+test("callers' own keys run once, whichever boxes get the requests and however often", async () => {
   await waitUntilKeysRun();
   const keys = Array.from({ length: 5 }, (_, serial) => createUuid(Date.now(), serial));
-  const answers = await Promise.all(keys.flatMap((key) => deployment.boxes.map((box) => book(box, key))));
-  expect(answers).toHaveLength(15);
-  expect(answers.filter(({ status }) => status !== 200)).toEqual([]);
+  const responses = await Promise.all(keys.flatMap((key) => deployment.boxes.map((box) => book(box, key))));
+  expect(responses).toHaveLength(15);
+  expect(responses.filter(({ status }) => status !== 200)).toEqual([]);
   const runs = await readRuns();
   expect(keys.map((key) => runs[key])).toEqual([1, 1, 1, 1, 1]);
 });
 
-test('keys survive the kill of any box: none runs twice, and what is said not to have run did not', async () => {
+test('after a box is killed no key runs twice, and no call that ran is reported as not run', async () => {
   await waitUntilKeysRun();
   const keys = Array.from({ length: 12 }, (_, serial) => createUuid(Date.now(), serial));
   const first = keys.map((key) => book(pickOther(), key).catch(() => undefined));
@@ -109,118 +111,121 @@
   if (victim === undefined) throw new Error('no box');
   await waitFor(async () => Object.keys(await readRuns()).some((key) => keys.includes(key)));
   await deployment.endBox(victim, 'SIGKILL');
-  const answers = await Promise.all(first);
+  const responses = await Promise.all(first);
   await deployment.publishBoxes();
   await deployment.waitUntilReady(2);
-  const again = await Promise.all(keys.map((key) => book(pickOther(), key)));
+  const repeated = await Promise.all(keys.map((key) => book(pickOther(), key)));
   const runs = await readRuns();
   for (const [index, key] of keys.entries()) {
     expect(runs[key] ?? 0).toBeLessThanOrEqual(1);
-    for (const answer of [answers[index], again[index]]) {
-      const saysNo = answer !== undefined && answer.status !== 200 && parseProblem(answer).ran === 'no';
-      expect([key, saysNo && (runs[key] ?? 0) > 0]).toEqual([key, false]);
+    for (const response of [responses[index], repeated[index]]) {
+      const isReportedNotRun =
+        response !== undefined && response.status !== 200 && parseProblem(response).ran === 'no';
+      expect([key, isReportedNotRun && (runs[key] ?? 0) > 0]).toEqual([key, false]);
     }
   }
 });
 
-test('a planned stop hands the keys over: asked again elsewhere, none runs twice', async () => {
+test('a planned stop hands the keys over: none runs twice when its request is repeated at another box', async () => {
   await waitUntilKeysRun();
   const keys = Array.from({ length: 9 }, (_, serial) => createUuid(Date.now(), serial));
-  const answers = await Promise.all(keys.map((key) => book(pickOther(), key)));
-  expect(answers.map(({ status }) => status)).toEqual(Array(9).fill(200));
+  const responses = await Promise.all(keys.map((key) => book(pickOther(), key)));
+  expect(responses.map(({ status }) => status)).toEqual(Array(9).fill(200));
   const leaving = deployment.boxes[0];
   if (leaving === undefined) throw new Error('no box');
   expect(await deployment.endBox(leaving, 'SIGTERM')).toBe(0);
-  const again = await Promise.all(keys.map((key) => book(pickOther(), key)));
-  expect(again.filter(({ status }) => status !== 200 && status !== 409)).toEqual([]);
+  const repeated = await Promise.all(keys.map((key) => book(pickOther(), key)));
+  expect(repeated.filter(({ status }) => status !== 200 && status !== 409)).toEqual([]);
   const runs = await readRuns();
   expect(keys.map((key) => runs[key])).toEqual(Array(9).fill(1));
 });
 
-test('a steward killed with a booking in hand: unknown, and the booking is not sent again', async () => {
-  const steward = await findSteward('worker-01');
-  const entry = pickOther(steward);
-  const asked = book(entry);
+test('if the owner of an endpoint is killed during a booking, its outcome is unknown and it is not sent again', async () => {
+  const owner = await findEndpointOwner('worker-01');
+  const entry = pickOther(owner);
+  const response = book(entry);
   await waitFor(async () => Object.keys(await readRuns()).length === 1);
-  await deployment.endBox(steward, 'SIGKILL');
-  expect(parseProblem(await asked)).toMatchObject({ ran: 'unknown' });
+  await deployment.endBox(owner, 'SIGKILL');
+  expect(parseProblem(await response)).toMatchObject({ ran: 'unknown' });
   await waitFor(async () => (await deployment.readStatus<BoxStatus>(entry)).liveBoxes.length === 2);
   expect(Object.values(await readRuns())).toEqual([1]);
 });
 
-test('a frozen steward delays no other caller past its lease, and its late wake repeats nothing', async () => {
-  const steward = await findSteward('worker-01');
-  const entry = pickOther(steward);
-  steward.child.kill('SIGSTOP');
-  const lost = await callService(entry.caller, 'booking/pickups', { body: 'linen' });
-  expect(parseProblem(lost)).toMatchObject({ ran: 'unknown' });
-  const answer = await book(entry);
-  expect(answer.status).toBe(200);
-  steward.child.kill('SIGCONT');
+test('a paused owner of an endpoint delays no other caller beyond its lease, and repeats nothing when it resumes', async () => {
+  const owner = await findEndpointOwner('worker-01');
+  const entry = pickOther(owner);
+  owner.child.kill('SIGSTOP');
+  const lostResponse = await callService(entry.caller, 'booking/pickups', { body: 'linen' });
+  expect(parseProblem(lostResponse)).toMatchObject({ ran: 'unknown' });
+  const response = await book(entry);
+  expect(response.status).toBe(200);
+  owner.child.kill('SIGCONT');
   await deployment.waitUntilReady(3);
   expect(Object.values(await readRuns()).every((runs) => runs === 1)).toBe(true);
 });
 
-test('a chat whose home and steward is killed before its answer is started again elsewhere', async () => {
-  const steward = await findSteward('engine-01');
-  const entry = pickOther(steward);
+test('a chat whose home box and endpoint owner is killed before the response starts is retried elsewhere', async () => {
+  const owner = await findEndpointOwner('engine-01');
+  const entry = pickOther(owner);
   const chats = Array.from({ length: 12 }, (_, chat) =>
     sendChat(entry.caller, { tokens: 6 }, { 'hazelwalk-chat': `kill-${chat}` }),
   );
-  await deployment.endBox(steward, 'SIGKILL');
-  const answers = await Promise.all(chats);
-  for (const { status, text } of answers) {
-    const isWhole = status === 200 && text.endsWith('data: [DONE]\n\n');
-    const isTyped = text.includes('event: error') || status >= 500;
-    expect([isWhole || isTyped, text]).toEqual([true, text]);
+  await deployment.endBox(owner, 'SIGKILL');
+  const responses = await Promise.all(chats);
+  for (const { status, text } of responses) {
+    const isComplete = status === 200 && text.endsWith('data: [DONE]\n\n');
+    const hasTypedError = text.includes('event: error') || status >= 500;
+    expect([isComplete || hasTypedError, text]).toEqual([true, text]);
   }
   const after = await sendChat(entry.caller, {}, { 'hazelwalk-chat': 'kill-0' });
   expect(after.text.endsWith('data: [DONE]\n\n')).toBe(true);
 });
 
-test('with the platform down everything goes on, and a box that starts learns all from its peers', async () => {
+test('while the platform is down requests are served, and a box that starts gets all values from its peers', async () => {
   await deployment.setPlatformMode('down');
   const seeds = deployment.boxes.map((box) => box.peer);
   const newcomer = await deployment.startBox('box-09', 'mixco', ['--seedAddresses', ...seeds]);
   await waitFor(async () => (await fetch(`http://${newcomer.caller}/readyz`)).status === 200);
-  const answer = await sendChat(newcomer.caller);
-  expect(answer.text.endsWith('data: [DONE]\n\n')).toBe(true);
+  const response = await sendChat(newcomer.caller);
+  expect(response.text.endsWith('data: [DONE]\n\n')).toBe(true);
   expect((await book(pickOther(newcomer))).status).toBe(200);
 });
 
-test('a revision never reverts: a platform that serves an older file changes nothing', async () => {
+test('a revision never reverts: an older file on the platform changes nothing', async () => {
   const { text } = await (
     await fetch(`http://${pickOther().admin}/v1/declared`)
   )
     .json()
     .then((value) => value as { text: string });
-  const read = async (): Promise<number[]> => {
+  const readRevisions = async (): Promise<number[]> => {
     const statuses = await Promise.all(deployment.boxes.map((box) => deployment.readStatus<BoxStatus>(box)));
     return statuses.map((status) => status.revision);
   };
   await deployment.publish('declared', text.replace('revision = 1', 'revision = 5'));
-  await waitFor(async () => (await read()).every((revision) => revision === 5));
+  await waitFor(async () => (await readRevisions()).every((revision) => revision === 5));
   await deployment.publish('declared', text);
   await deployment.publish('declared', text.replace('revision = 1', 'revision = "x"'));
   await waitFor(async () => {
     const statuses = await Promise.all(deployment.boxes.map((box) => deployment.readStatus<BoxStatus>(box)));
     return statuses.some((status) => (status.counters['value.rejected'] ?? 0) > 0);
   });
-  expect(await read()).toEqual([5, 5, 5]);
+  expect(await readRevisions()).toEqual([5, 5, 5]);
 });
 
-test('a leaving endpoint gets no new work once its steward knows', async () => {
+test('a leaving endpoint gets no new requests once its owner has read its report', async () => {
   const [leaving, staying] = deployment.engines as [EndpointHandle, EndpointHandle];
   await fetch(`http://${leaving.address}/standin/leaving`, { method: 'POST' });
   await waitFor(async () => {
-    const status = await deployment.readStatus<BoxStatus>(await findSteward(leaving.id));
+    const status = await deployment.readStatus<BoxStatus>(await findEndpointOwner(leaving.id));
     return status.endpoints.find(({ id }) => id === leaving.id)?.state === 'leaving';
   });
-  const answers = await Promise.all(Array.from({ length: 12 }, () => sendChat(pickOther().caller)));
-  expect(answers.map(({ headers }) => headers.get('hazelwalk-endpoint'))).toEqual(Array(12).fill(staying.id));
+  const responses = await Promise.all(Array.from({ length: 12 }, () => sendChat(pickOther().caller)));
+  expect(responses.map(({ headers }) => headers.get('hazelwalk-endpoint'))).toEqual(
+    Array(12).fill(staying.id),
+  );
 });
 
-test('a key younger than the margin of a box that just started is not run by guess', async () => {
+test('a box that just started does not run a key created before its ownership plus the margin', async () => {
   const key = createUuid(Date.now() - MARGIN_MS, 1);
   expect(parseProblem(await book(pickOther(), key))).toMatchObject({ ran: 'unknown' });
   expect((await readRuns())[key]).toBeUndefined();
--- a/packages/daemon/src/__tests__/keyConfirmation.test.ts
+++ b/packages/daemon/src/__tests__/keyConfirmation.test.ts
@@ -1,19 +1,20 @@
 /**
- * Seen: twelve of fifteen requests for callers' own keys were served, the others refused with 2017 and `ran: "unknown"`,
- * while nothing was wrong with any box, with the platform or with a link.
+ * Guards against refusals of callers' own keys with 2017 and `ran: "unknown"` while boxes, platform and links all work: twelve
+ * of fifteen requests were served and three refused.
  *
- * How it comes about: the owner of a key runs it only while the platform confirmed its lists within a lease. A call that
- * waits for a change confirms the list as it was when the call began, so a confirmation is replaced only after two
- * waits, and by peers a heartbeat later. Two waits were a lease long: once in each, keys had no sure owner.
+ * The owner of a key runs its call only if the platform confirmed the owner's lists within a lease. A call that waits for a
+ * change confirms the list as of the start of the call, so a confirmation is replaced only after two waits, and reaches peers a
+ * heartbeat later. Two waits took as long as a lease, so once in each lease the owner's lists were unconfirmed.
  *
- * Shown by the owner's log in a fleet without a fault, 7 to 9 in 100 asks: "declared was confirmed 1505 ms ago" of 1500.
+ * In a fleet without faults this refused 7 to 9 of 100 calls; the owner logged "declared was confirmed 1505 ms ago" with a
+ * lease of 1500 ms.
  */
 import type { CoreSettings } from '@hazelwalk/core';
 import { parseKeyTimeMs, VirtualKeyFleet } from '../__fixtures__/virtualKeyFleet.js';
 
 const START_MS = 1_800_000_000_000;
 const SECOND_MS = 1_000;
-/** Short leases, as in tests with real processes; and those that ship. */
+/** Short leases, as in tests with real processes; `TIMINGS` also has the default ones. */
 const SHORT = {
   keyLagMs: 100,
   keyLeaseMs: 1_500,
@@ -30,7 +31,7 @@
 
 afterEach(() => jest.useRealTimers());
 
-/** Starts three boxes and their callers; keys are young enough to run from then on. */
+/** Starts three boxes and, after 20 s, their callers; the boxes have owned their keys long enough to run them by then. */
 async function startFleet(timing: Partial<CoreSettings>): Promise<VirtualKeyFleet> {
   const fleet = await VirtualKeyFleet.create(3, timing);
   await jest.advanceTimersByTimeAsync(20 * SECOND_MS);
@@ -38,19 +39,19 @@
   return fleet;
 }
 
-/** Codes of the refusals, and how many there were of each. */
+/** Counts the refusals by code. */
 function countCodes(fleet: VirtualKeyFleet): Record<string, number> {
   const codes: Record<string, number> = {};
   for (const { refusal } of fleet.refusals) codes[refusal.code] = (codes[refusal.code] ?? 0) + 1;
   return codes;
 }
 
-/** Refusals by an owner that was not sure, from a time on. */
+/** Counts the refusals since a time by owners that were uncertain of a key (`keyUnsure`). */
 function countUnsure(fleet: VirtualKeyFleet, fromMs: number): number {
   return fleet.refusals.filter(({ atMs, refusal }) => atMs >= fromMs && refusal.code === 'keyUnsure').length;
 }
 
-test.each(TIMINGS)('while nothing is wrong, every key has an owner that runs it (%j)', async (timing) => {
+test.each(TIMINGS)('without faults, every key has an owner that runs its call (%j)', async (timing) => {
   const fleet = await startFleet(timing);
   await jest.advanceTimersByTimeAsync(20 * SECOND_MS);
   expect(fleet.requestCount).toBeGreaterThan(5_000);
@@ -58,27 +59,27 @@
 });
 
 test.each(TIMINGS)(
-  'a box that stood still asks at once and serves the keys that waited for it (%j)',
+  'a box that was paused confirms its lists at once and serves the keys held meanwhile (%j)',
   async (timing) => {
     const fleet = await startFleet(timing);
-    for (const stillMs of [700, 1_500, 3_000, 9_000]) {
-      fleet.findBox(1).pause(stillMs);
-      await jest.advanceTimersByTimeAsync(stillMs + 5 * SECOND_MS);
+    for (const pauseMs of [700, 1_500, 3_000, 9_000]) {
+      fleet.findBox(1).pause(pauseMs);
+      await jest.advanceTimersByTimeAsync(pauseMs + 5 * SECOND_MS);
     }
     expect(countUnsure(fleet, 0)).toBe(0);
   },
 );
 
-test.each(TIMINGS)('keys run again as soon as the platform answers after an outage (%j)', async (timing) => {
+test.each(TIMINGS)('keys run again as soon as the platform responds after an outage (%j)', async (timing) => {
   const fleet = await startFleet(timing);
   fleet.timing.isPlatformUp = false;
   await jest.advanceTimersByTimeAsync(12 * SECOND_MS);
   expect(countUnsure(fleet, 0)).toBeGreaterThan(0);
   fleet.timing.isPlatformUp = true;
-  const backAtMs = Date.now();
+  const platformUpAtMs = Date.now();
   await jest.advanceTimersByTimeAsync(5 * SECOND_MS);
-  // Whoever was told that the platform is down asks it again a second later.
-  expect(countUnsure(fleet, backAtMs + SECOND_MS + 100)).toBe(0);
+  // A box whose call to the platform failed repeats it a second later.
+  expect(countUnsure(fleet, platformUpAtMs + SECOND_MS + 100)).toBe(0);
 });
 
 test('while the platform is down, keys are refused at once and not held', async () => {
@@ -89,7 +90,7 @@
   expect(Math.max(...waits)).toBeLessThan(50);
 });
 
-test('a platform that hangs holds a key up for half a second at most', async () => {
+test('a platform that does not respond delays a key by half a second at most', async () => {
   const fleet = await startFleet(SHORT);
   fleet.timing.platformMs = () => 60 * SECOND_MS;
   await jest.advanceTimersByTimeAsync(12 * SECOND_MS);
--- a/packages/daemon/src/__tests__/platformWatch.test.ts
+++ b/packages/daemon/src/__tests__/platformWatch.test.ts
@@ -1,4 +1,4 @@
-/** The pace of calls to the platform, in virtual time. */
+/** Calls of the platform watch in virtual time. */
 import { getEventListeners } from 'node:events';
 import type { ValueQuery } from '../adapters/platformReader.js';
 import { PlatformWatch } from '../adapters/platformWatch.js';
@@ -9,10 +9,11 @@
 afterEach(() => jest.useRealTimers());
 
 /**
- * Seen: Node warned of eleven listeners on one signal after a few seconds of a test. Each pause between two calls left one
- * behind for as long as the value was watched: a leak of some twenty thousand a day and value.
+ * Guards against a leak of event listeners: each delay between two calls left one on the signal of the watch, which lives as
+ * long as the value is watched. That was about 20,000 listeners a day for each value; Node warned of eleven listeners on one
+ * signal after a few seconds of a test.
  */
-test('a value that is watched for long leaves nothing behind on its signal', async () => {
+test('a value that is watched for long leaves no listeners on its signal', async () => {
   const queries: ValueQuery[] = [];
   const watch = new PlatformWatch({
     readValue: (query) => {
--- a/packages/daemon/src/__tests__/wholePath.test.ts
+++ b/packages/daemon/src/__tests__/wholePath.test.ts
@@ -15,10 +15,10 @@
 
 afterAll(() => deployment.stop());
 
-/** The daemon is still there and serves others. */
+/** After each test the daemon still serves requests. */
 afterEach(async () => {
-  const answer = await sendChat(caller);
-  expect([answer.status, answer.text.endsWith('data: [DONE]\n\n')]).toEqual([200, true]);
+  const response = await sendChat(caller);
+  expect([response.status, response.text.endsWith('data: [DONE]\n\n')]).toEqual([200, true]);
 });
 
 async function sumCounter(name: string): Promise<number> {
@@ -30,30 +30,32 @@
   return (await (await fetch(`http://${address}${path}`)).json()) as T;
 }
 
-test('a chat streams back whole through any box, and returns to its engine', async () => {
-  const answers = [];
+test('a chat is streamed completely through any box and is routed to the same engine again', async () => {
+  const responses = [];
   for (const box of deployment.boxes)
-    answers.push(await sendChat(box.caller, {}, { 'hazelwalk-chat': 'chat-1' }));
-  expect(answers.map((answer) => answer.text.match(/t\d/g)?.length)).toEqual([6, 6]);
-  expect(answers[0]?.headers.get('hazelwalk-endpoint')).toBe(answers[1]?.headers.get('hazelwalk-endpoint'));
+    responses.push(await sendChat(box.caller, {}, { 'hazelwalk-chat': 'chat-1' }));
+  expect(responses.map((response) => response.text.match(/t\d/g)?.length)).toEqual([6, 6]);
+  expect(responses[0]?.headers.get('hazelwalk-endpoint')).toBe(
+    responses[1]?.headers.get('hazelwalk-endpoint'),
+  );
 });
 
-test('a chat that does not stream comes back whole', async () => {
-  const answer = await sendChat(caller, { stream: false });
-  expect(JSON.parse(answer.text)).toMatchObject({ object: 'chat.completion' });
+test('a chat without streaming gets a complete response', async () => {
+  const response = await sendChat(caller, { stream: false });
+  expect(JSON.parse(response.text)).toMatchObject({ object: 'chat.completion' });
 });
 
 test('the request id is echoed', async () => {
-  const answer = await sendChat(caller, {}, { 'x-request-id': 'mine-7' });
-  expect(answer.headers.get('x-request-id')).toBe('mine-7');
+  const response = await sendChat(caller, {}, { 'x-request-id': 'mine-7' });
+  expect(response.headers.get('x-request-id')).toBe('mine-7');
 });
 
 test('a booking is confirmed once', async () => {
-  const answer = await callService(caller, 'booking/pickups', { body: 'linen' });
-  expect(JSON.parse(answer.text)).toEqual({ confirmed: true, runs: 1, received: 5 });
+  const response = await callService(caller, 'booking/pickups', { body: 'linen' });
+  expect(JSON.parse(response.text)).toEqual({ confirmed: true, runs: 1, received: 5 });
 });
 
-test('large bodies stream both ways unchanged', async () => {
+test('large bodies are streamed unchanged in both directions', async () => {
   const body = randomBytes(5_000_000);
   const response = await fetch(`http://${caller}/services/tracking/echo`, {
     method: 'POST',
@@ -68,28 +70,28 @@
 test.each([
   ['malformed JSON', '{"model":', {}, 400, 2001],
   ['no messages', '{"model":"assistant","messages":[]}', {}, 400, 2001],
-  ['an impossible deadline', {}, { 'hazelwalk-deadline-ms': '-1' }, 400, 2001],
+  ['an invalid deadline', {}, { 'hazelwalk-deadline-ms': '-1' }, 400, 2001],
   ['an oversized body', { messages: ['x'.repeat(1_100_000)] }, {}, 413, 2002],
   ['oversized headers', {}, { 'x-large': 'x'.repeat(20_000) }, 431, 2003],
   ['an unknown team', {}, { 'hazelwalk-team': 'nobody' }, 403, 2004],
   ['an unknown model', { model: 'nothing' }, {}, 404, 2006],
-])('%s is refused with its number', async (_name, body, headers, status, code) => {
-  const answer = await sendChat(caller, body, headers as Record<string, string>);
-  expect([answer.status, parseProblem(answer)]).toMatchObject([status, { code, ran: 'no' }]);
+])('%s is refused with its code', async (_name, body, headers, status, code) => {
+  const response = await sendChat(caller, body, headers as Record<string, string>);
+  expect([response.status, parseProblem(response)]).toMatchObject([status, { code, ran: 'no' }]);
 });
 
-test('an unknown service and an unknown path are refused with their numbers', async () => {
+test('an unknown service and an unknown path are refused with their codes', async () => {
   expect(parseProblem(await callService(caller, 'nothing/x'))).toMatchObject({ code: 2005, ran: 'no' });
-  const answer = await (await fetch(`http://${caller}/nowhere`)).json();
-  expect(answer).toMatchObject({ code: 2007, ran: 'no' });
+  const response = await (await fetch(`http://${caller}/nowhere`)).json();
+  expect(response).toMatchObject({ code: 2007, ran: 'no' });
 });
 
 test.each([
   ['truncated', (hello: Buffer) => hello.subarray(0, 10), 'peer.frameTruncated'],
   ['oversized', () => Buffer.from([0xff, 0xff, 0xff, 0xff]), 'peer.frameTooLarge'],
   ['malformed', () => Buffer.from([0, 0, 0, 1, 0xff]), 'peer.frameMalformed'],
-])('a %s peer frame is counted and its link closed', async (_name, cut, counter) => {
-  await sendToPeer(cut(encodeHello(PROTOCOL_VERSION)), counter);
+])('a %s peer frame is counted and its link closed', async (_name, corrupt, counter) => {
+  await sendToPeer(corrupt(encodeHello(PROTOCOL_VERSION)), counter);
 });
 
 test('a peer of another version is counted and its link closed', async () => {
@@ -111,30 +113,33 @@
   socket.destroy();
 }
 
-test('an answer shorter than announced is not passed off as whole', async () => {
+test('a response shorter than its content length is not forwarded as complete', async () => {
   const before = await sumCounter('refusal.answerTooShort');
   await expect(callService(caller, 'booking/short', { body: 'x' })).rejects.toThrow();
   await waitFor(async () => (await sumCounter('refusal.answerTooShort')) === before + 1);
 });
 
-test('an answer longer than announced ends where it said it would', async () => {
-  const answer = await callService(caller, 'booking/long', { body: 'x' });
-  expect([answer.status, answer.text]).toEqual([200, 'x'.repeat(10)]);
+test('a response longer than its content length ends at that length', async () => {
+  const response = await callService(caller, 'booking/long', { body: 'x' });
+  expect([response.status, response.text]).toEqual([200, 'x'.repeat(10)]);
 });
 
-test('an endpoint that never answers costs the caller no more than the deadline', async () => {
+test('if an endpoint never responds, the caller gets a refusal at the deadline', async () => {
   const headers = { 'hazelwalk-deadline-ms': '300' };
-  const answer = await callService(caller, 'booking/never', { body: 'x', headers });
-  expect([answer.status, parseProblem(answer)]).toMatchObject([504, { code: 3001, ran: 'unknown' }]);
+  const response = await callService(caller, 'booking/never', { body: 'x', headers });
+  expect([response.status, parseProblem(response)]).toMatchObject([504, { code: 3001, ran: 'unknown' }]);
 });
 
-test.each(['break', 'noEnd'])('a stream that an engine ends early (%s) gets a typed end', async (fault) => {
-  const answer = await sendChat(caller, { fault });
-  expect(answer.text).not.toContain('[DONE]');
-  expect(answer.text).toMatch(/event: error\ndata: \{.*"ran":"unknown"/);
-});
+test.each(['break', 'noEnd'])(
+  'a stream that an engine ends early (%s) ends with an error event',
+  async (fault) => {
+    const response = await sendChat(caller, { fault });
+    expect(response.text).not.toContain('[DONE]');
+    expect(response.text).toMatch(/event: error\ndata: \{.*"ran":"unknown"/);
+  },
+);
 
-test('the work of a caller that goes away is cancelled at the engine', async () => {
+test('when a caller disconnects, its call is cancelled at the engine', async () => {
   const countCancelled = async (): Promise<number> => {
     const stats = await Promise.all(
       deployment.engines.map((engine) =>
@@ -157,19 +162,21 @@
   await waitFor(async () => (await sumCounter('refusal.callerGone')) >= 1);
 });
 
-test('a planned stop under load cuts off nothing, refuses truthfully and exits 0', async () => {
+test('a planned stop under load completes all open responses, refuses new requests with ran: no and exits 0', async () => {
   const box = await deployment.startBox('box-03', 'mixco');
   await deployment.publishBoxes();
   await deployment.waitUntilReady(3);
-  const running = Array.from({ length: 8 }, (_, chat) =>
+  const openResponses = Array.from({ length: 8 }, (_, chat) =>
     sendChat(box.caller, { tokens: 60 }, { 'hazelwalk-chat': `stop-${chat}` }),
   );
   await waitFor(async () => (await deployment.readStatus<BoxStatus>(box)).requestsInFlight === 8);
   const exitCode = deployment.endBox(box, 'SIGTERM');
   await waitFor(async () => (await fetch(`http://${box.caller}/readyz`)).status === 503);
   expect(parseProblem(await sendChat(box.caller))).toMatchObject({ code: 2012, ran: 'no' });
-  const answers = await Promise.all(running);
-  expect(answers.map((answer) => answer.text.endsWith('data: [DONE]\n\n'))).toEqual(Array(8).fill(true));
+  const responses = await Promise.all(openResponses);
+  expect(responses.map((response) => response.text.endsWith('data: [DONE]\n\n'))).toEqual(
+    Array(8).fill(true),
+  );
   expect(await exitCode).toBe(0);
   await deployment.publishBoxes();
   await deployment.waitUntilReady(2);
