--- a/packages/cli/src/__tests__/cli.test.ts
+++ b/packages/cli/src/__tests__/cli.test.ts
@@ -31,7 +31,7 @@
 
 const boxes = (): string[] => deployment.boxes.map((box) => box.admin);
 
-test('check names each error with file, line and number, and fails', async () => {
+test('check reports each error with file, line and code, and fails', async () => {
   const path = write('bad.toml', example.replace('loadBound = 1.15', 'loadBound = 0'));
   const line = example.split('\n').indexOf('loadBound = 1.15') + 1;
   const { code, out } = await run('check', path);
@@ -41,7 +41,7 @@
   ]);
 });
 
-test('status shows every box, and says which does not answer', async () => {
+test('status shows every box and reports the one that does not respond', async () => {
   const { code, out } = await run('status', '--boxes', ...boxes(), '127.0.0.1:1', '--json');
   const lines = out
     .trim()
@@ -55,7 +55,7 @@
   expect(code).toBe(1);
 });
 
-test('diff shows what a file would change, and wait sees it in force once it is published', async () => {
+test('diff shows what a file would change, and wait ends once the file is published and in force', async () => {
   const text = example.replace('revision = 1', 'revision = 2').replace('loadBound = 1.15', 'loadBound = 1.2');
   const path = write('next.toml', text);
   const diff = await run('diff', path, '--box', boxes()[0] ?? '');
@@ -65,21 +65,21 @@
   expect(JSON.parse((await waiting).out)).toEqual({ revision: 2, boxes: 2, inForce: true });
 });
 
-test('wait gives up with a number', async () => {
+test('wait fails with a code after its timeout', async () => {
   const { code, out } = await run('wait', '--revision', '99', '--timeoutMs', '1', '--boxes', ...boxes());
   expect([code, out]).toEqual([1, expect.stringContaining('HW1203')]);
 });
 
-test('explain says which engines are asked', async () => {
+test('explain shows the candidate engines', async () => {
   const { out } = await run('explain', 'chat-1', '--model', 'assistant', '--box', boxes()[0] ?? '');
   expect(out).toMatch(/chat chat-1: home is [\s\S]*engine-0\d +box-0\d/);
 });
 
-test('a wrong command line fails with its number', async () => {
+test('an unknown command fails with its code', async () => {
   expect(await run('fly')).toEqual({ code: 2, out: expect.stringContaining('HW1201') });
 });
 
-test('drain ends a box', async () => {
+test('drain stops a box, which exits with 0', async () => {
   const box = deployment.boxes[1];
   if (box === undefined) throw new Error('no box');
   const ended = new Promise((resolve) => box.child.once('exit', resolve));
--- a/packages/cli/src/boxClient.ts
+++ b/packages/cli/src/boxClient.ts
@@ -1,4 +1,4 @@
-/** Talks to boxes on their admin addresses. */
+/** Sends requests to the admin servers of boxes. */
 import { Err, Ok } from '@hazelwalk/core';
 import type { Problem, Result } from '@hazelwalk/core';
 import { request } from 'undici';
@@ -6,7 +6,7 @@
 const TIMEOUT_MS = 3_000;
 const HTTP_OK = 200;
 
-/** The part of a box's status that the tool shows. */
+/** The fields of a box's status that the tool shows, as the admin server names them. */
 export interface BoxStatus {
   readonly boxId: string;
   readonly hall: string;
@@ -18,6 +18,7 @@
   readonly liveBoxes: readonly string[];
   readonly endpoints: readonly {
     readonly id: string;
+    /** Id of the box that owns the endpoint. */
     readonly steward: string | null;
     readonly load: number;
     readonly waiting: number;
@@ -45,17 +46,17 @@
   }
 }
 
-/** Reads a box's status. */
+/** Reads the status of a box. */
 export function readBoxStatus(address: string): Promise<Result<BoxStatus, Problem>> {
   return call(address, 'GET', '/v1/status');
 }
 
-/** Reads the declared file that is in force at a box; empty if there is none. */
+/** Reads the text of the declared file that is in force at a box; empty if there is none. */
 export function readDeclaredFile(address: string): Promise<Result<{ text: string }, Problem>> {
   return call(address, 'GET', '/v1/declared');
 }
 
-/** Asks a box where a chat would go and why. */
+/** Reads how a box would place a chat, and why. */
 export function readExplanation(
   address: string,
   model: string,
@@ -64,7 +65,7 @@
   return call(address, 'GET', `/v1/explain?${new URLSearchParams({ model, chat })}`);
 }
 
-/** Begins a planned stop of a box. */
+/** Starts a planned stop of a box. */
 export function requestDrain(address: string): Promise<Result<unknown, Problem>> {
   return call(address, 'POST', '/v1/drain');
 }
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -1,4 +1,4 @@
-/** `hazelwalk check FILE…`: validates declared files whole. */
+/** `hazelwalk check FILE…`: validates declared files and reports all problems of each. */
 import { readFileSync } from 'node:fs';
 import { findLine, parseDeclaration } from '@hazelwalk/config';
 import type { Declaration, Problem, Result } from '@hazelwalk/core';
@@ -10,7 +10,7 @@
   return line === undefined ? problem : { ...problem, at: `line ${line}, ${problem.at}` };
 }
 
-/** Reads and checks one file; each problem names its field, and its line where that is known. */
+/** Reads and validates one file; each problem names its field, and the line if it is known. */
 export function checkFile(path: string): Result<Declaration, readonly Problem[]> {
   let text: string;
   try {
--- a/packages/cli/src/commands/diff.ts
+++ b/packages/cli/src/commands/diff.ts
@@ -1,18 +1,18 @@
-/** `hazelwalk diff FILE`: what a declared file would change against what is in force. */
+/** `hazelwalk diff FILE`: compares a declared file with the one in force. */
 import { parseDeclaration } from '@hazelwalk/config';
 import type { Declaration } from '@hazelwalk/core';
 import { readDeclaredFile } from '../boxClient.js';
 import { printProblems, printResult } from '../output.js';
 import { checkFile } from './check.js';
 
-/** One difference. `was` is absent for what is added, `becomes` for what is removed. */
+/** One difference, printed with `--json`. `was` is absent for an added field, `becomes` for a removed one. */
 export interface Difference {
   readonly at: string;
   readonly was?: string;
   readonly becomes?: string;
 }
 
-/** Lists a declaration's fields by path, with the members of lists under their names. */
+/** Maps the path of each field of a declaration to its value; the path of a team or service contains its name. */
 function listFields(declaration: Declaration): Map<string, string> {
   const fields = new Map<string, string>([
     ['revision', String(declaration.revision)],
--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -1,4 +1,4 @@
-/** `hazelwalk drain`: begins a planned stop of one box. */
+/** `hazelwalk drain`: starts a planned stop of one box. */
 import { requestDrain } from '../boxClient.js';
 import { printProblems, printResult } from '../output.js';
 
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,4 +1,4 @@
-/** `hazelwalk status`: every box with its revision, stewardships, load and refusals. */
+/** `hazelwalk status`: shows each box with its revision, the endpoints that it owns, their load, refusals and retries. */
 import type { BoxStatus } from '../boxClient.js';
 import { readBoxStatus } from '../boxClient.js';
 import { formatTable, printProblems, printResult } from '../output.js';
@@ -14,7 +14,7 @@
 }
 
 function toRow(status: BoxStatus): string[] {
-  const own = status.endpoints.filter((endpoint) => endpoint.steward === status.boxId);
+  const ownEndpoints = status.endpoints.filter((endpoint) => endpoint.steward === status.boxId);
   return [
     status.boxId,
     status.hall,
@@ -25,7 +25,7 @@
     String(status.requestsInFlight),
     String(sumCounters(status, 'refusal.')),
     String(sumCounters(status, 'retry.')),
-    own.map(({ id, load }) => `${id}:${load}`).join(' '),
+    ownEndpoints.map(({ id, load }) => `${id}:${load}`).join(' '),
   ];
 }
 
--- a/packages/cli/src/commands/wait.ts
+++ b/packages/cli/src/commands/wait.ts
@@ -11,7 +11,7 @@
   timeoutMs: number,
   json: boolean,
 ): Promise<void> {
-  const giveUpAt = Date.now() + timeoutMs;
+  const deadlineMs = Date.now() + timeoutMs;
   let lastCount = -1;
   for (;;) {
     const results = await Promise.all(boxes.map(readBoxStatus));
@@ -21,7 +21,7 @@
     lastCount = count;
     if (count === boxes.length)
       return printResult(json, { revision, boxes: count, inForce: true }, 'in force everywhere');
-    if (Date.now() > giveUpAt) {
+    if (Date.now() > deadlineMs) {
       const detail = `revision ${revision} is in force on ${count} of ${boxes.length} boxes after ${timeoutMs} ms`;
       return printProblems(json, [{ code: 'notInForce', at: '', detail }]);
     }
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,3 +1,3 @@
-/** The operators' tool as a library: what its tests use. */
+/** The parts of the operators' tool that can be used as a library. */
 export { checkFile } from './commands/check.js';
 export { compareDeclarations } from './commands/diff.js';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' tool. Boxes are named by their admin addresses. */
+/** Entry point of the operators' tool. Boxes are identified by their admin addresses. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 import { runCheck } from './commands/check.js';
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,4 +1,4 @@
-/** How the tool prints and exits. */
+/** Output and exit codes of the tool. */
 import type { Problem } from '@hazelwalk/core';
 import { formatProblem, RESULT_CODES } from '@hazelwalk/core';
 
@@ -10,7 +10,7 @@
   process.stdout.write(json ? `${JSON.stringify(value)}\n` : `${text}\n`);
 }
 
-/** Prints problems and sets the exit code of a failure. */
+/** Prints problems and sets the exit code to that of a failure. */
 export function printProblems(json: boolean, problems: readonly Problem[]): void {
   process.exitCode = EXIT_CODE.failed;
   for (const problem of problems) {
@@ -20,7 +20,7 @@
   }
 }
 
-/** Lines up rows of cells under a header. */
+/** Formats rows of cells as a table with aligned columns; the first row is the header. */
 export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, column) => Math.max(...rows.map((row) => row[column]?.length ?? 0)));
   return rows
