--- a/packages/core/src/coreSettings.ts
+++ b/packages/core/src/coreSettings.ts
@@ -1,72 +1,72 @@
 /**
- * The core's own settings with their defaults. The box settings file may override those that operators tune.
+ * Settings of the core with their defaults. The box settings file can override some of them.
  */
 import type { RoutingPolicy } from './policy.js';
 
-/** Times are in milliseconds, shares between 0 and 1. */
+/** Settings of the core. Times are in milliseconds, shares between 0 and 1. */
 export interface CoreSettings {
   readonly policy: RoutingPolicy;
-  /** Pace of heartbeats to each peer. */
+  /** Interval between heartbeats to each peer. */
   readonly heartbeatMs: number;
-  /** A peer unheard for this long is not live. */
+  /** A peer that has sent no liveness signal for longer than this is not live. */
   readonly leaseMs: number;
-  /** A request not accepted by then is placed again. */
+  /** Time after which an attempt that has not been accepted counts as lost and is retried. */
   readonly placeTimeoutMs: number;
-  /** Attempts at one request, the first included. */
+  /** Largest number of attempts of one request, including the first. */
   readonly maxAttempts: number;
-  /** Retries that each success earns its service. */
+  /** Retries that each successful request adds to the budget of its service. */
   readonly retryRatio: number;
-  /** Retries a service may save up. */
+  /** Largest retry budget of a service. */
   readonly retryBurst: number;
-  /** Wait before the first retry; doubles, with jitter. */
+  /** Backoff before the first retry; doubles with each retry, with jitter. */
   readonly retryBackoffMs: number;
-  /** Boxes an assignment may visit. */
+  /** Largest number of boxes that may handle an assignment. */
   readonly maxHops: number;
-  /** Endpoints named in an assignment. */
+  /** Largest number of candidates in an assignment. */
   readonly maxCandidates: number;
-  /** Engines remembered for a chat. */
+  /** Largest number of warm engines stored for a chat. */
   readonly maxEnginesPerChat: number;
-  /** Chats remembered by one box. */
+  /** Largest number of chats in one box's directory. */
   readonly maxChats: number;
-  /** Directory entries sent to new home boxes at each heartbeat. */
+  /** Largest number of directory entries handed over to new home boxes at each heartbeat. */
   readonly handoverEntriesPerHeartbeat: number;
-  /** Time over which a joining endpoint's share grows to full. */
+  /** Duration of the slow start, during which a joining endpoint's share of the load grows to its full share. */
   readonly rampMs: number;
-  /** Share at which a joining endpoint starts. */
+  /** Share with which a joining endpoint starts. */
   readonly rampFloor: number;
-  /** How long a returning endpoint must stay listed for each time it flapped. */
+  /** How long an endpoint must stay listed before it gets work again, for each time it has flapped. */
   readonly flapHoldMs: number;
-  /** An endpoint that was away for longer starts with a clean record. */
+  /** Flaps of an endpoint that was unlisted for longer than this are no longer counted. */
   readonly flapMemoryMs: number;
-  /** Failures in a row that eject an endpoint. */
+  /** Consecutive failures after which an endpoint is ejected. */
   readonly ejectAfter: number;
-  /** First ejection; doubles with each that follows. */
+  /** Duration of the first ejection; doubles with each further one. */
   readonly ejectMs: number;
-  /** Largest share of a service's endpoints that may be ejected. */
+  /** Largest share of a service's endpoints that may be unusable after an ejection. */
   readonly maxEjectedShare: number;
-  /** Part of an endpoint's capacity kept for teams below their fair share. */
+  /** Share of an endpoint's capacity reserved for teams below their fair share. */
   readonly reserveShare: number;
-  /** Part of the declared bound's slack that is used, so that a falling mean does not leave engines above it. */
+  /** Share of the declared bound's slack that is used, so that engines stay within the bound when the mean falls. */
   readonly boundUse: number;
-  /** Boxes of a hall that watch each published value. */
+  /** Number of boxes of a hall that watch each published value. */
   readonly watchersPerValue: number;
   /** Smallest Retry-After. */
   readonly retryAfterMs: number;
-  /** The published lists are at most this old when the platform answers. */
+  /** Largest age of the lists that the platform serves. */
   readonly keyLagMs: number;
-  /** An owner of timed keys acts only while its lists were confirmed within this time. */
+  /** The owner of a timed key runs calls only if the platform confirmed its lists within this time. */
   readonly keyLeaseMs: number;
-  /** Callers' clocks are at most this far off. */
+  /** Largest error of callers' clocks. */
   readonly keySkewMs: number;
-  /** Boxes' clocks are at most this far off. */
+  /** Largest error of boxes' clocks. */
   readonly clockErrorMs: number;
-  /** A key older than this is no longer run. */
+  /** A call whose key is older than this is not run. */
   readonly keyRetentionMs: number;
-  /** Longest planned stop. */
+  /** Time limit of a graceful shutdown. */
   readonly drainTimeoutMs: number;
 }
 
-/** Settings that ship. */
+/** Default settings. */
 export const DEFAULT_CORE_SETTINGS: CoreSettings = {
   policy: { type: 'steward' },
   heartbeatMs: 1_000,
--- a/packages/core/src/effects.ts
+++ b/packages/core/src/effects.ts
@@ -1,5 +1,5 @@
 /**
- * What comes out of a turn of the loop: instructions that adapters carry out.
+ * The output of a turn: effects that the adapters carry out.
  */
 import type { AttemptRef, ControlFrame, RequestHead, RequestId } from './frames.js';
 import type { BoxId, BoxRecord, EndpointId, ValueName } from './records.js';
@@ -7,18 +7,18 @@
 import type { KeyUncertainty } from './systems/keyUncertainty.js';
 import type { KeyRequester } from './tables/keys.js';
 
-/** A request's final refusal or failure, for the caller. */
+/** The final refusal or failure of a request, as sent to the caller. */
 export interface Refusal {
   readonly code: ResultCode;
   readonly ran: Ran;
-  /** When to come back, already spread out. */
+  /** Delay for the caller's next try, with jitter already applied. */
   readonly retryAfterMs: number;
 }
 
-/** Why a request is tried again. */
+/** Why a request is retried. */
 export type RetryReason = 'placeLost' | 'stewardLost' | 'overBound' | 'endpointBroke';
 
-/** Counters by name; refusals and retries carry their reason. */
+/** Names of the counters; those of refusals and retries end with the reason. */
 export type CounterName =
   | `refusal.${ResultCode}`
   | `retry.${RetryReason}`
@@ -29,7 +29,7 @@
   | 'placement.spilled'
   | 'endpoint.ejected';
 
-/** An instruction to an adapter. */
+/** An instruction for an adapter. */
 export type Effect =
   | { readonly type: 'send'; readonly to: BoxId; readonly frame: ControlFrame }
   | { readonly type: 'broadcast'; readonly to: readonly BoxId[]; readonly frame: ControlFrame }
@@ -37,33 +37,33 @@
   | { readonly type: 'connectPeers'; readonly boxes: readonly BoxRecord[] }
   /** Watch exactly these values on the platform. */
   | { readonly type: 'watchValues'; readonly names: readonly ValueName[] }
-  /** Ask the platform at once whether these values are as this box holds them. */
+  /** Read these values from the platform immediately, to confirm that this box holds the current ones. */
   | { readonly type: 'confirmValues'; readonly names: readonly ValueName[] }
-  /** Read reports of exactly these endpoints. */
+  /** Poll the load reports of exactly these endpoints. */
   | { readonly type: 'watchEndpoints'; readonly endpoints: readonly WatchedEndpoint[] }
   | DispatchEffect
   | (AttemptRef & { readonly type: 'cancelCall' })
-  /** The steward took the request: the entry box may stream its body there. */
+  /** The endpoint's owner accepted the request; the entry box may stream the body to it. */
   | (AttemptRef & { readonly type: 'bindRequest'; readonly ownerId: BoxId; readonly endpointId: EndpointId })
-  /** Hold the answer of an owner's own request. */
+  /** Store the response of a keyed call that this box runs as the key's owner. */
   | { readonly type: 'openKeyed'; readonly requestId: RequestId }
-  /** Send the answer held to an asker's entry box. */
+  /** Send the stored response to a requester's entry box. */
   | { readonly type: 'deliverKeyed'; readonly keyedRequestId: RequestId; readonly requester: KeyRequester }
-  /** The answer need not be held any longer. */
+  /** Discard the stored response. */
   | { readonly type: 'forgetKeyed'; readonly keyedRequestId: RequestId }
   | { readonly type: 'refuseCaller'; readonly requestId: RequestId; readonly refusal: Refusal }
   | { readonly type: 'count'; readonly counter: CounterName }
   | { readonly type: 'log'; readonly level: 'info' | 'warn'; readonly message: string }
-  /** A planned stop is complete. */
+  /** A graceful shutdown is complete. */
   | { readonly type: 'stopped' };
 
-/** An endpoint whose reports are wanted. */
+/** An endpoint whose load reports are polled. */
 export interface WatchedEndpoint {
   readonly id: EndpointId;
   readonly address: string;
 }
 
-/** Call an endpoint and stream its answer to the entry box. */
+/** Call an endpoint and stream its response to the entry box. */
 export interface DispatchEffect extends AttemptRef {
   readonly type: 'dispatch';
   readonly entry: BoxId;
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -1,62 +1,63 @@
 /**
- * What goes into a turn of the loop. Adapters turn sockets, watches and timers into these; the core does no I/O.
+ * The input of a turn. Adapters turn sockets, watches and timers into these events; the core does no I/O.
  */
 import type { AttemptRef, ControlFrame, RequestHead, RequestId } from './frames.js';
 import type { BoxId, BoxRecord, EndpointId, ValueName } from './records.js';
 import type { ResultCode } from './resultCodes.js';
 
-/** A caller's request has been read as far as routing needs. */
+/** The part of a caller's request that routing needs has been read. */
 export interface CallerRequestEvent {
   readonly type: 'callerRequest';
   readonly requestId: RequestId;
   readonly head: RequestHead;
 }
 
-/** The caller went away before its answer was whole. */
+/** The caller disconnected before its response was complete. */
 export interface CallerGoneEvent {
   readonly type: 'callerGone';
   readonly requestId: RequestId;
 }
 
-/** How an attempt's call to its endpoint ended, as the steward saw it. */
+/** How an attempt's call ended, as seen by the endpoint's owner. */
 export type CallOutcome =
+  /** The response was complete. */
   | { readonly type: 'whole'; readonly status: number }
-  /** Nothing was sent: the connection could not be made. */
+  /** Nothing was sent: no connection could be established. */
   | { readonly type: 'notSent' }
   /** Bytes may have reached the endpoint. */
   | { readonly type: 'broken'; readonly code: ResultCode }
   | { readonly type: 'cancelled' };
 
-/** A steward's call to an endpoint ended. */
+/** A call of this box to an endpoint ended. */
 export interface CallEndedEvent extends AttemptRef {
   readonly type: 'callEnded';
   readonly outcome: CallOutcome;
 }
 
-/** The first bytes of an answer reached the caller: the request can no longer be started again. */
+/** The first bytes of the response were sent to the caller; the request can no longer be retried. */
 export interface AnswerStartedEvent extends AttemptRef {
   readonly type: 'answerStarted';
 }
 
-/** The caller has its whole answer. */
+/** The caller received the complete response. */
 export interface AnswerEndedEvent extends AttemptRef {
   readonly type: 'answerEnded';
 }
 
-/** An answer broke its own announcement: shorter or longer than it said. */
+/** The response was shorter or longer than its headers announced. */
 export interface AnswerBrokenEvent {
   readonly type: 'answerBroken';
   readonly requestId: RequestId;
   readonly code: ResultCode;
 }
 
-/** The entry box began to read the caller's body; it cannot be read a second time. */
+/** The entry box started to read the caller's streamed body, which cannot be read a second time. */
 export interface BodyTakenEvent {
   readonly type: 'bodyTaken';
   readonly requestId: RequestId;
 }
 
-/** An endpoint's own report, late by nature. */
+/** A load report polled from an endpoint; it is stale by up to the polling interval. */
 export interface EndpointReportEvent {
   readonly type: 'endpointReport';
   readonly endpointId: EndpointId;
@@ -64,14 +65,14 @@
   readonly leaving: boolean;
 }
 
-/** Something that happened outside the core. */
+/** An event from outside the core. */
 export type CoreEvent =
   | { readonly type: 'tick' }
   | { readonly type: 'frame'; readonly from: BoxId; readonly frame: ControlFrame }
   | { readonly type: 'peerUp'; readonly record: BoxRecord; readonly incarnation: string }
   | { readonly type: 'peerDown'; readonly boxId: BoxId }
   | { readonly type: 'valueRead'; readonly name: ValueName; readonly text: string }
-  /** A call to the platform for a value ended; `askedAtMs` is when it began. */
+  /** A call to the platform for a value ended; `requestedAtMs` is when it started. */
   | {
       readonly type: 'platformContact';
       readonly name: ValueName;
--- a/packages/core/src/formatCodeTable.ts
+++ b/packages/core/src/formatCodeTable.ts
@@ -1,4 +1,4 @@
-/** Writes the table of result codes as the docs show it. */
+/** Formats the table of result codes for the documentation. */
 import { RESULT_CODES } from './resultCodes.js';
 
 /**
--- a/packages/core/src/frames.ts
+++ b/packages/core/src/frames.ts
@@ -1,101 +1,113 @@
 /**
- * The messages between boxes. The wire package encodes them; the core gives them their meaning.
- * Every frame about a request names the request and the attempt, so that late frames are recognised.
+ * The messages between boxes. The wire package encodes them, the core handles them. Every frame about a request carries
+ * the request's id and the attempt, so that late frames can be detected and dropped.
  */
 import type { BoxId, ChatId, EndpointId, ServiceKind, ServiceName, TeamName, ValueName } from './records.js';
 import type { Ran, ResultCode } from './resultCodes.js';
 
-/** `box.incarnation.counter`: unique over boxes and their restarts. */
+/** `box.incarnation.counter`: unique across boxes and restarts. */
 export type RequestId = string;
 
-/** Names one attempt at one request. */
+/** Identifies one attempt of a request. */
 export interface AttemptRef {
   readonly requestId: RequestId;
   readonly attempt: number;
 }
 
-/** An endpoint's load as its steward knows it. Negative: the endpoint takes no work. */
+/** An endpoint's load as its owner reports it. Negative if the endpoint accepts no work. */
 export type LoadEntry = readonly [EndpointId, number];
 
-/** Version and digest of a published value; the digest orders two values of one version. */
+/** Version and digest of a published value; the digest orders two values with the same version. */
 export type ValueStamp = readonly [version: number, digest: number];
 
-/** Sent to every peer at a fixed pace; proof of life and summary of loads. */
+/** Sent to every peer at a fixed interval: liveness signal, loads and versions of the published values. */
 export interface HeartbeatFrame {
   readonly type: 'heartbeat';
   readonly loads: readonly LoadEntry[];
   /** Stamps in the order of VALUE_NAMES. */
   readonly stamps: readonly ValueStamp[];
-  /** When each value was last confirmed with the platform, by a box's clock; 0 when never. Order of VALUE_NAMES. */
+  /**
+   * When the platform last confirmed each value, in the order of VALUE_NAMES and by the clock of the box that asked;
+   * 0 if never.
+   */
   readonly confirmedAtMs: readonly number[];
   readonly stopping: boolean;
-  /** Whether the sender reached the platform lately. */
+  /** False if the sender's last call to the platform failed. */
   readonly platformOk: boolean;
 }
 
-/** Asks a peer for a published value that it said it holds. */
+/** Requests a published value from a peer that advertised a newer version. */
 export interface ValueRequestFrame {
   readonly type: 'valueRequest';
   readonly name: ValueName;
 }
 
-/** Answers a value request with the bytes as published. */
+/** Response to a value request: the text exactly as published. */
 export interface ValueFrame {
   readonly type: 'value';
   readonly name: ValueName;
   readonly text: string;
 }
 
-/** What the routing boxes need to know of a request. */
+/** The part of a request that routing needs. */
 export interface RequestHead {
   readonly kind: ServiceKind;
   readonly service: ServiceName;
   readonly team: TeamName;
   readonly chat: ChatId;
-  /** Larger goes first. */
+  /** Requests with a higher priority start first. */
   readonly priority: number;
-  /** Time left when the frame was sent; a remaining time needs no common clock. From a caller, 0: the service's own. */
+  /**
+   * Time left when the frame was sent; a duration, so that boxes need no common clock. 0 in a caller's request means
+   * the service's default deadline.
+   */
   readonly remainingMs: number;
   readonly method: string;
   readonly path: string;
   readonly headers: readonly (readonly [string, string])[];
-  /** Key of a call that may not be repeated, as the caller gave it. */
+  /** Idempotency key of a call that may run at most once, as sent by the caller. */
   readonly key?: string | undefined;
-  /** The whole body, where it travels in the frame. */
+  /** The whole body, if it is sent within the frame. */
   readonly body?: Uint8Array | undefined;
-  /** Whether a body is streamed to the steward once the request is accepted. */
+  /** Whether the body is streamed to the endpoint's owner once the request is accepted. */
   readonly streamsBody: boolean;
 }
 
-/** Entry box to the chat's home box: choose an engine for this request. */
+/** Sent by the entry box to the chat's home box, which chooses an engine for the request. */
 export interface PlaceFrame extends AttemptRef {
   readonly type: 'place';
   readonly entry: BoxId;
   readonly head: RequestHead;
 }
 
-/** To the steward of the first candidate: take this request, or pass it on. */
+/** Sent to the owner of the first candidate, which accepts the request or forwards it to the next candidate. */
 export interface AssignFrame extends AttemptRef {
   readonly type: 'assign';
   readonly entry: BoxId;
-  /** The chat's home box, which learns who took the request; empty for plain services. */
+  /**
+   * The chat's home box (the partition owner of its directory entry), which is sent the engine that accepted the
+   * request; empty for plain services.
+   */
   readonly home: BoxId;
   readonly head: RequestHead;
-  /** Endpoints still to be asked, best first. */
+  /** Endpoints not yet tried, best first. */
   readonly candidates: readonly EndpointId[];
-  /** Boxes that have handled it since it was placed; bounds forwarding while lists disagree. */
+  /** Number of boxes that have handled the assignment; limits forwarding while boxes hold different lists. */
   readonly hops: number;
-  /** Loads that travel along: the deciding box's own, and those of the engines that were over the bound. */
+  /** Loads sent along: those of the endpoints that the placing box owns, and those of engines found over the bound. */
   readonly observed: readonly LoadEntry[];
-  /** Engines that were over the bound, in the order asked. */
+  /** Engines found over the bound, in the order tried. */
   readonly passed: readonly EndpointId[];
-  /** All candidates were over the bound by a mean that may be late: the least loaded of those asked judges by these alone. */
+  /**
+   * Every candidate was over the bound, computed from a mean that may be stale. The request goes to the least loaded of
+   * them, which computes the bound from the loads of these engines only.
+   */
   readonly isLast: boolean;
-  /** Why the last candidate did not take it; the refusal's code once none is left. */
+  /** Why the previous candidate did not accept it; the code of the refusal if no candidate is left. */
   readonly reason: ResultCode;
 }
 
-/** Steward to home box: the chat went to another engine than the home box's first choice. */
+/** Sent by an endpoint's owner to the home box if another engine than the home box's first choice took the chat. */
 export interface PlacedFrame {
   readonly type: 'placed';
   readonly service: ServiceName;
@@ -103,15 +115,17 @@
   readonly endpoint: EndpointId;
 }
 
-/** Steward to entry box: the request is queued or sent here. */
+/** Sent by an endpoint's owner to the entry box: the request is queued or running at the endpoint. */
 export interface AcceptedFrame extends AttemptRef {
   readonly type: 'accepted';
   readonly endpoint: EndpointId;
-  /** The steward's present loads: what is sent anyway keeps its peers' view fresh. */
+  /** Current loads of the sender's endpoints; piggybacked to keep the receiver's view fresh. */
   readonly loads: readonly LoadEntry[];
 }
 
-/** Any deciding box to the entry box: the attempt ended without running, or it cannot be told. */
+/**
+ * Sent to the entry box by the box that handled the attempt: it ended without a response. `ran` holds whether it ran.
+ */
 export interface RefusedFrame extends AttemptRef {
   readonly type: 'refused';
   readonly code: ResultCode;
@@ -119,34 +133,34 @@
   readonly retryAfterMs: number;
 }
 
-/** Entry box to steward: stop this attempt. */
+/** Sent by the entry box to the endpoint's owner: cancel this attempt. */
 export interface CancelFrame extends AttemptRef {
   readonly type: 'cancel';
 }
 
-/** Directory entries handed to the box that is now home to these chats. */
+/** Handover of directory entries to the box that has become the home box of these chats. */
 export interface DirectoryFrame {
   readonly type: 'directory';
-  /** Model and chat, separated by a slash, with the engines that hold the prefix. */
+  /** Directory key (`model/chat`) with the engines that have the chat's prefix cached. */
   readonly entries: readonly (readonly [string, readonly EndpointId[]])[];
 }
 
-/** Entry box to the judge of a key: run this call unless it may have run. */
+/** Sent by the entry box to the box that decides on a key: run this call unless it may have run already. */
 export interface KeyedFrame extends AttemptRef {
   readonly type: 'keyed';
   readonly entry: BoxId;
   readonly head: RequestHead;
 }
 
-/** A stopping box's last word on keys: what it knows of them, and that it runs no more. */
+/** Handover of a stopping box's keys: their states, and the statement that it runs no more keyed calls. */
 export interface KeysFrame {
   readonly type: 'keys';
   readonly incarnation: string;
-  /** When it was said, by the sender's clock. */
+  /** When the frame was sent, by the sender's clock. */
   readonly atMs: number;
-  /** Since when the sender's own ownerships had not changed. */
+  /** Since when the sender's key ownership had not changed. */
   readonly sinceMs: number;
-  /** The box list by which it owned them. */
+  /** Version of the box list by which the sender owned the keys. */
   readonly listVersion: number;
   readonly entries: readonly (readonly [key: string, ServiceName, 'answerGone' | 'unknown'])[];
 }
@@ -166,17 +180,17 @@
   | KeyedFrame
   | KeysFrame;
 
-/** Which way a body travels: with the request to the steward, or with the answer to the entry box. */
+/** Direction of a body: `request` to the endpoint's owner, `answer` (the response) to the entry box. */
 export type StreamSide = 'request' | 'answer';
 
-/** Steward to entry box: status and headers of the answer. */
+/** Sent by the endpoint's owner to the entry box: status and headers of the response. */
 export interface AnswerHeadFrame extends AttemptRef {
   readonly type: 'answerHead';
   readonly status: number;
   readonly headers: readonly (readonly [string, string])[];
 }
 
-/** A piece of a body. Sequence numbers start at 0 and have no gaps. */
+/** A chunk of a body. Sequence numbers start at 0 and have no gaps. */
 export interface DataFrame extends AttemptRef {
   readonly type: 'data';
   readonly side: StreamSide;
@@ -184,28 +198,28 @@
   readonly bytes: Uint8Array;
 }
 
-/** The body ended whole after `count` data frames. */
+/** End of a complete body of `count` data frames. */
 export interface EndFrame extends AttemptRef {
   readonly type: 'end';
   readonly side: StreamSide;
   readonly count: number;
 }
 
-/** The receiver has passed on this many bytes and can take as many again. */
+/** Flow control: the receiver has forwarded this many bytes and can take as many more. */
 export interface CreditFrame extends AttemptRef {
   readonly type: 'credit';
   readonly side: StreamSide;
   readonly bytes: number;
 }
 
-/** Frames that carry bodies; adapters pass them on without asking the core. */
+/** Frames that carry responses and bodies; adapters handle them without the core. */
 export type StreamFrame = AnswerHeadFrame | DataFrame | EndFrame | CreditFrame;
 
-/** Everything that travels between boxes. */
+/** Every frame between boxes, except the `hello` that opens a link. */
 export type Frame = ControlFrame | StreamFrame;
 
 /**
- * Tells whether a frame is control traffic, as opposed to a caller's request or answer on its way.
+ * Whether a frame is control traffic, as opposed to part of a caller's request or response.
  *
  * @example isControlTraffic({ type: 'cancel', requestId: 'a', attempt: 1 }) // false
  */
--- a/packages/core/src/hasher.ts
+++ b/packages/core/src/hasher.ts
@@ -1,5 +1,5 @@
 /**
- * Rendezvous hashing: every box that sees the same nodes picks the same order for a key, with no agreement.
+ * Rendezvous hashing: all boxes with the same set of nodes compute the same order for a key, without coordination.
  */
 import createXxhash from 'xxhash-wasm';
 
@@ -21,7 +21,7 @@
 const seedCache = new Map<string, number>();
 const SEED_CACHE_LIMIT = 100_000;
 
-function seedOf(hasher: Hasher, nodeId: string): number {
+function readNodeSeed(hasher: Hasher, nodeId: string): number {
   const cached = seedCache.get(nodeId);
   if (cached !== undefined) return cached;
   if (seedCache.size >= SEED_CACHE_LIMIT) seedCache.clear();
@@ -36,13 +36,13 @@
  * @example rankByRendezvous(hasher, 'chat-1', ['a', 'b', 'c']) // some fixed order of all three
  */
 export function rankByRendezvous(hasher: Hasher, key: string, nodeIds: readonly string[]): string[] {
-  const scored = nodeIds.map((id) => ({ id, score: hasher.h32(key, seedOf(hasher, id)) }));
+  const scored = nodeIds.map((id) => ({ id, score: hasher.h32(key, readNodeSeed(hasher, id)) }));
   scored.sort((a, b) => b.score - a.score || (a.id < b.id ? -1 : 1));
   return scored.map((node) => node.id);
 }
 
 /**
- * Returns the first node in rendezvous order, without sorting.
+ * Returns the first node in rendezvous order, without sorting; undefined if there are no nodes.
  *
  * @example pickByRendezvous(hasher, 'chat-1', []) // undefined
  */
@@ -54,7 +54,7 @@
   let best: string | undefined;
   let bestScore = -1;
   for (const id of nodeIds) {
-    const score = hasher.h32(key, seedOf(hasher, id));
+    const score = hasher.h32(key, readNodeSeed(hasher, id));
     if (score > bestScore || (score === bestScore && best !== undefined && id < best)) {
       best = id;
       bestScore = score;
--- a/packages/core/src/idempotencyKey.ts
+++ b/packages/core/src/idempotencyKey.ts
@@ -1,25 +1,25 @@
 /**
- * Keys of calls that may not be repeated: tickets that a box issued, and callers' own keys that carry a time.
+ * Idempotency keys of calls that may run at most once: tickets issued by a box, and callers' own keys with a timestamp.
  */
 import type { BoxId } from './records.js';
 
-/** A key that a box issued; only the very run of that box that issued it may ever run the call. */
+/** A key issued by a box; only the incarnation of the box that issued it may run the call. */
 export interface TicketKey {
   readonly type: 'ticket';
   readonly boxId: BoxId;
   readonly incarnation: string;
-  /** Grows with every ticket of the incarnation. */
+  /** Increases with every ticket of the incarnation. */
   readonly serial: number;
 }
 
-/** A caller's own key; its time decides which owner may still run it. */
+/** A caller's own key; its time decides which owner may run the call. */
 export interface TimedKey {
   readonly type: 'timed';
   /** Unix time in milliseconds by the caller's clock. */
   readonly timeMs: number;
 }
 
-/** A key that can be judged. */
+/** A well-formed idempotency key. */
 export type IdempotencyKey = TicketKey | TimedKey;
 
 const TICKET_PATTERN = /^ticket\.([a-z0-9-]+)\.([a-z0-9]+)\.([a-z0-9]+)$/;
@@ -28,7 +28,7 @@
 const HEX = 16;
 
 /**
- * Writes a ticket.
+ * Formats a ticket.
  *
  * @example formatTicket('box-01', 'k3', 7) // 'ticket.box-01.k3.7'
  */
@@ -37,9 +37,10 @@
 }
 
 /**
- * Reads a key; undefined if it is neither a ticket nor a UUID of version 7 (RFC 9562, section 5.7).
+ * Parses a key; undefined if it is neither a ticket nor a UUID of version 7 (RFC 9562, section 5.7).
  *
- * @example parseCallKey('ticket.box-01.k3.7') // { type: 'ticket', boxId: 'box-01', incarnation: 'k3', serial: 7 }
+ * @example parseIdempotencyKey('ticket.box-01.k3.7')
+ * // { type: 'ticket', boxId: 'box-01', incarnation: 'k3', serial: 7 }
  */
 export function parseIdempotencyKey(text: string): IdempotencyKey | undefined {
   const [, boxId, incarnation, serial] = TICKET_PATTERN.exec(text) ?? [];
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,4 +1,4 @@
-/** The pure core: tables, the systems that run over them, and the messages between boxes. */
+/** The core, free of I/O: tables, the systems that operate on them, and the messages between boxes. */
 export * from './idempotencyKey.js';
 export * from './coreSettings.js';
 export * from './effects.js';
--- a/packages/core/src/problemBody.ts
+++ b/packages/core/src/problemBody.ts
@@ -1,11 +1,11 @@
-/** The body of a refusal as callers see it: problem+json (RFC 9457) with the numbered code and whether it ran. */
+/** The response body of a refusal: problem+json (RFC 9457) with the numbered code and whether the request ran. */
 import type { Ran, ResultCode } from './resultCodes.js';
 import { RESULT_CODES } from './resultCodes.js';
 
 /** Media type of a refusal's body. */
 export const PROBLEM_CONTENT_TYPE = 'application/problem+json';
 
-/** The body of a refusal. */
+/** The response body of a refusal. */
 export interface ProblemBody {
   readonly type: string;
   readonly title: string;
@@ -18,7 +18,7 @@
 }
 
 /**
- * Builds the body of a refusal.
+ * Creates the response body of a refusal.
  *
  * @example createProblemBody({ code: 'noEndpoint', ran: 'no', retryAfterMs: 500 }, 'r1').status // 503
  */
--- a/packages/core/src/records.ts
+++ b/packages/core/src/records.ts
@@ -1,6 +1,6 @@
 /**
- * The records the platform publishes and the operators declare, as the core sees them once checked.
- * Sources: box list, endpoint list and declared file of the configuration service.
+ * Validated records of the values that the platform publishes: the box list, the endpoint list and the operators'
+ * declared file.
  */
 
 export type BoxId = string;
@@ -10,10 +10,10 @@
 export type ServiceName = string;
 export type ChatId = string;
 
-/** Whether the platform considers a machine or back end in service. */
+/** Whether the platform lists a box or an endpoint as in service or as leaving. */
 export type ListedState = 'live' | 'leaving';
 
-/** One machine of the box list. */
+/** One box (a machine of the router) of the box list. */
 export interface BoxRecord {
   readonly id: BoxId;
   readonly hall: HallName;
@@ -22,74 +22,74 @@
   readonly state: ListedState;
 }
 
-/** One back end of the endpoint list. */
+/** One endpoint (a back end) of the endpoint list. */
 export interface EndpointRecord {
   readonly id: EndpointId;
   readonly hall: HallName;
   /** `host:port` of its HTTP server. */
   readonly address: string;
-  /** The models or plain services it serves. */
+  /** Names of the models or plain services that it serves. */
   readonly serves: readonly ServiceName[];
   readonly state: ListedState;
 }
 
-/** The box list with its own version, which only grows. */
+/** The box list with its version, which increases with every change. */
 export interface BoxList {
   readonly version: number;
   readonly boxes: readonly BoxRecord[];
 }
 
-/** The endpoint list with its own version, which only grows. */
+/** The endpoint list with its version, which increases with every change. */
 export interface EndpointList {
   readonly version: number;
   readonly endpoints: readonly EndpointRecord[];
 }
 
-/** A customer. */
+/** A team: a tenant of the fleet. */
 export interface TeamDeclaration {
   readonly name: TeamName;
-  /** Share relative to the other teams when an endpoint is contended. */
+  /** Weight relative to the other teams when they compete for an endpoint. */
   readonly weight: number;
-  /** Requests in flight over the whole region; absent means no limit of its own. */
+  /** Limit on the team's requests in flight over the whole region; no limit if absent. */
   readonly maxInFlight?: number | undefined;
 }
 
-/** What every service declares, whatever its kind. */
+/** Fields that services of every kind declare. */
 interface ServiceCommon {
   readonly name: ServiceName;
-  /** Requests in flight at one endpoint beyond which the rest waits. */
+  /** Limit on requests in flight at one endpoint; further requests are queued. */
   readonly maxInFlightPerEndpoint: number;
-  /** Longest expected wait before a request is refused at once. */
+  /** Longest expected queueing time; a request that would wait longer is refused immediately. */
   readonly maxQueueMs: number;
-  /** Deadline of a request that names none. */
+  /** Time allowed for a request that sets no deadline. */
   readonly defaultDeadlineMs: number;
 }
 
 /** A model served by engines. */
 export interface ModelDeclaration extends ServiceCommon {
   readonly kind: 'model';
-  /** An engine carries at most this multiple of the mean load. */
+  /** Largest load of one engine, as a multiple of the mean load (bounded-load hashing). */
   readonly loadBound: number;
 }
 
 /**
- * How calls of a plain service may be repeated.
- * `safe`: any number of times. `keyChecked`: the endpoint judges the key. `never`: at most once.
+ * Whether calls of a plain service may be repeated.
+ * `safe`: any number of times. `keyChecked`: the endpoint deduplicates by idempotency key. `never`: at most once.
  */
 export type RepeatRule = 'safe' | 'keyChecked' | 'never';
 
-/** A plain service beside the engines. */
+/** A service that is not a model. */
 export interface PlainServiceDeclaration extends ServiceCommon {
   readonly kind: 'plain';
   readonly repeat: RepeatRule;
 }
 
-/** Anything a request can be routed to. */
+/** Any service that requests can be routed to. */
 export type ServiceDeclaration = ModelDeclaration | PlainServiceDeclaration;
-/** Kind of a service. */
+/** Discriminator of a service declaration. */
 export type ServiceKind = ServiceDeclaration['kind'];
 
-/** The operators' file once accepted. */
+/** The operators' declared file after validation. */
 export interface Declaration {
   readonly revision: number;
   readonly deployment: string;
@@ -98,7 +98,7 @@
   readonly services: readonly ServiceDeclaration[];
 }
 
-/** The values that the platform publishes. */
+/** Names of the values that the platform publishes. */
 export const VALUE_NAMES = ['declared', 'boxes', 'endpoints'] as const;
 /** Name of a published value. */
 export type ValueName = (typeof VALUE_NAMES)[number];
--- a/packages/core/src/result.ts
+++ b/packages/core/src/result.ts
@@ -1,8 +1,8 @@
 /**
- * The result type used for every expected failure.
+ * The result type for expected failures.
  *
- * `ts-results` ships CommonJS only: ESM importers find it behind `default`, CommonJS ones do not. Both come through
- * here, once.
+ * `ts-results` is published as CommonJS only: its exports are behind `default` when it is imported from an ES module,
+ * but not from CommonJS. This module handles both cases for all importers.
  */
 import * as imported from 'ts-results';
 import type { Result as TsResult } from 'ts-results';
--- a/packages/core/src/resultCodes.ts
+++ b/packages/core/src/resultCodes.ts
@@ -1,22 +1,22 @@
 /**
- * The numbered result codes: one entry for every refusal, failure and configuration error.
+ * The numbered result codes of all refusals, failures and configuration errors.
  *
- * 1xxx settings and declared files, 2xxx refusals of a caller's request, 3xxx failures of an answer,
- * 4xxx frames between boxes. The table in docs/RESULT-CODES.md is checked against this one by a test.
+ * 1xxx settings and declared files, 2xxx refusals of a caller's request, 3xxx failures of a response,
+ * 4xxx frames between boxes. A test checks that the table in docs/RESULT-CODES.md matches this one.
  */
 
-/** Whether a refused or failed request ran at its endpoint. `unknown` is said whenever `no` cannot be proved. */
+/** Whether a refused or failed request ran at its endpoint. `unknown` unless it provably did not run. */
 export type Ran = 'no' | 'unknown';
 
-/** What is fixed about one result code. */
+/** Number, HTTP status and texts of one result code. */
 export interface ResultCodeInfo {
   /** Stable number, shown to callers and operators. */
   readonly number: number;
-  /** HTTP status when it reaches a caller; 0 when it never does. */
+  /** HTTP status of the response to the caller; 0 for codes that are never sent to callers. */
   readonly httpStatus: number;
-  /** One line that says what happened. */
+  /** What happened, in one line. */
   readonly title: string;
-  /** One line that says what to do. */
+  /** What to do about it, in one line. */
   readonly action: string;
 }
 
@@ -170,10 +170,10 @@
 /** Name of a result code. */
 export type ResultCode = keyof typeof RESULT_CODES;
 
-/** A typed error: its code and what exactly is wrong. */
+/** A typed error: its code, where it occurred and what is wrong. */
 export interface Problem {
   readonly code: ResultCode;
-  /** The field, path or address it is about; empty when it is about the whole. */
+  /** The field, path or address that it is about; empty if it concerns the whole input. */
   readonly at: string;
   readonly detail: string;
 }
--- a/packages/core/src/runTurn.ts
+++ b/packages/core/src/runTurn.ts
@@ -1,5 +1,5 @@
 /**
- * One turn of the loop: events change the tables, the systems run in a fixed order, effects come out.
+ * One turn of the loop: applies events to the tables, runs the systems in a fixed order and returns the effects.
  */
 import type { Effect } from './effects.js';
 import type { CoreEvent } from './events.js';
@@ -47,7 +47,7 @@
 } from './systems/endpointOwnership.js';
 import type { World } from './world.js';
 
-/** Deadlines, lost boxes and back-offs are looked after at this pace. */
+/** Interval between checks of deadlines, lost boxes and elapsed backoffs. */
 const SWEEP_MS = 20;
 
 function handleFrame(world: World, from: BoxId, frame: ControlFrame): void {
@@ -119,14 +119,14 @@
 function runSweeps(world: World): void {
   if (world.nowMs < world.nextSweepMs) return;
   world.nextSweepMs = world.nowMs + SWEEP_MS;
-  // A steward's word that a call did not run goes before the entry box's doubt.
+  // Calls first: an endpoint owner's refusal states that the call did not run, the entry box could only say `unknown`.
   sweepCalls(world, (entry) => !isReachable(world, entry));
   sweepRequests(world);
   sweepKeys(world);
 }
 
 /**
- * Runs one turn and returns what the adapters are to do. The core does no I/O: time comes in as an argument.
+ * Runs one turn and returns the effects for the adapters. The core does no I/O; the time is an argument.
  *
  * @example const effects = runTurn(world, [{ type: 'tick' }], Date.now());
  */
@@ -149,7 +149,7 @@
   return effects;
 }
 
-/** Events that cannot change who is live or what is in force; the systems for that need not run. */
+/** Whether an event cannot change live boxes or published values, so that the systems for these need not run. */
 function isRequestTraffic(event: CoreEvent): boolean {
   switch (event.type) {
     case 'callerRequest':
--- a/packages/core/src/synchronousSource.ts
+++ b/packages/core/src/synchronousSource.ts
@@ -1,6 +1,6 @@
 /**
- * A `most` source that passes each value on within the call. The library's own `fromEvent` defers them, so that frames
- * of a body, which go straight to their adapter, would overtake the control frame before them on the same link.
+ * A `most` source that emits each value synchronously. The library's `fromEvent` defers values: frames of a body, which
+ * go directly to their adapter, would then overtake the control frame that precedes them on the same link.
  */
 import type { Disposable, Scheduler, Sink, Source } from 'most';
 
@@ -19,7 +19,7 @@
     };
   }
 
-  /** Passes a value on; dropped if nobody listens. */
+  /** Emits a value; it is dropped if there is no subscriber. */
   push(value: T): void {
     if (this.scheduler !== undefined) this.sink?.event(this.scheduler.now(), value);
   }
--- a/packages/core/src/tables/boxes.ts
+++ b/packages/core/src/tables/boxes.ts
@@ -1,25 +1,25 @@
-/** The boxes table: every machine of the fleet that this box has been told of. */
+/** The boxes table: every box of the fleet that was listed or has connected. */
 import type { BoxId, BoxRecord } from '../records.js';
 
-/** One machine, as listed and as heard. */
+/** One box: its listed record and what its frames report. */
 export interface BoxRow {
   readonly id: BoxId;
   record: BoxRecord;
-  /** False once the list no longer names it. */
+  /** Whether the current box list contains it. */
   listed: boolean;
-  /** Time of the last sign of life; -Infinity once its link broke. */
+  /** Time of its last liveness signal; -Infinity after its link broke. */
   lastSeenAtMs: number;
   incarnation: string;
-  /** It said that it is stopping. */
+  /** Whether its last heartbeat reported a shutdown in progress. */
   stopping: boolean;
-  /** As last computed by the membership system. */
+  /** Liveness as last computed by the membership system. */
   isLive: boolean;
-  /** It said that it reached the platform lately. */
+  /** Whether its last heartbeat reported that it can reach the platform. */
   platformOk: boolean;
 }
 
 /**
- * Creates the row of a newly listed box. It has the benefit of the doubt for one lease.
+ * Creates the row of a newly listed box. It counts as live for one lease without having sent anything.
  *
  * @example createBoxRow({ id: 'b1', hall: 'mixco', peerAddress: '127.0.0.1:7001', state: 'live' }, 0)
  */
--- a/packages/core/src/tables/calls.ts
+++ b/packages/core/src/tables/calls.ts
@@ -1,23 +1,23 @@
-/** The calls table: what this box, as a steward, has waiting at or running on endpoints. */
+/** The calls table: attempts that are queued for or running on endpoints that this box owns. */
 import type { AttemptRef, AssignFrame } from '../frames.js';
 import type { EndpointId } from '../records.js';
 
-/** One attempt in a steward's hands. */
+/** One attempt that the endpoint's owner has accepted. */
 export interface CallRow {
-  /** The assignment as it came; its candidates are those still to be asked. */
+  /** The assignment as received; its first candidate is this endpoint, the others have not been tried. */
   readonly assign: AssignFrame;
   readonly endpointId: EndpointId;
   phase: 'waiting' | 'running';
   readonly arrivedMs: number;
   startedMs: number;
-  /** On this box's own clock. */
+  /** By this box's clock. */
   readonly deadlineMs: number;
 }
 
 /**
- * Key of an attempt in the calls table.
+ * Returns the key of an attempt in the calls table.
  *
- * @example callKey({ requestId: 'b1.x.7', attempt: 2 }) // 'b1.x.7#2'
+ * @example attemptKey({ requestId: 'b1.x.7', attempt: 2 }) // 'b1.x.7#2'
  */
 export function attemptKey(ref: AttemptRef): string {
   return `${ref.requestId}#${ref.attempt}`;
--- a/packages/core/src/tables/endpoints.ts
+++ b/packages/core/src/tables/endpoints.ts
@@ -1,60 +1,61 @@
-/** The endpoints table: every back end, what the list says of it and what is known of its load. */
+/** The endpoints table: the listed record, health and load of every endpoint. */
 import type { BoxId, EndpointId, EndpointRecord, TeamName } from '../records.js';
 import type { CallRow } from './calls.js';
 
-/** One back end. Counts are requests. */
+/** One endpoint. Loads and counts are numbers of requests. */
 export interface EndpointRow {
   readonly id: EndpointId;
   record: EndpointRecord;
-  /** False once the list no longer names it. */
+  /** Whether the current endpoint list contains it. */
   listed: boolean;
-  /** When it was last taken off the list. */
+  /** When it was last removed from the list. */
   absentSinceMs: number;
-  /** Times it came back soon after it had left. */
+  /** How often it was listed again soon after its removal. */
   flaps: number;
-  /** No work before this time. */
+  /** It gets no work before this time. */
   trustedFromMs: number;
-  /** Start of its ramp. */
+  /** Start of its slow start. */
   rampFromMs: number;
-  /** The endpoint itself said that it is leaving. */
+  /** Whether its last load report announced that it is leaving. */
   reportedLeaving: boolean;
 
-  /** The box that speaks to it, in this box's view. */
+  /** The box that owns it, in this box's view: all calls to it go through that box. */
   ownerId: BoxId | undefined;
-  /** Calls this box has running there. */
+  /** Calls from this box that are running there. */
   inFlight: number;
   /** The same, by team. */
   readonly runningByTeam: Map<TeamName, number>;
-  /** Calls this box holds back for it, by team, in the order they are to start. */
+  /** Calls that this box has queued for it, by team, in starting order. */
   readonly waitingByTeam: Map<TeamName, CallRow[]>;
   /** Sum over waitingByTeam. */
   waiting: number;
-  /** Load that its own reports show beyond this box's calls, such as a previous steward's. */
+  /** Load in its own reports beyond this box's calls, such as calls of a previous owner. */
   foreignLoad: number;
-  /** Most calls this box had there since the report before last; reports are late. */
+  /** Most calls this box had running there since the previous report; used because reports are stale. */
   peakInFlight: number;
-  /** Last report and this box's own count when it came; used by policies without stewards. */
+  /** Load in its last report, and this box's own count at that time; used by policies without owners. */
   reportedInFlight: number;
   inFlightAtReport: number;
 
-  /** Load as its steward last said; negative when it takes no work. */
+  /** Load that its owner last reported; negative if it accepts no work. */
   ownerReportedLoad: number;
-  /** Requests this box sent towards it since the steward said so. */
+  /** Requests that this box has assigned to it since that report. */
   placedSinceReport: number;
 
-  /** Failures in a row. */
+  /** Failures since the last success or ejection. */
   consecutiveFailures: number;
   ejections: number;
   ejectedUntilMs: number;
-  /** Moving average of how long a call takes there. */
+  /** Moving average of its call durations. */
   meanServiceMs: number;
 }
 
-/** Assumed length of a call before any was seen. */
+/** Assumed duration of a call before the first one has ended. */
 const INITIAL_SERVICE_MS = 1_000;
 
 /**
- * Creates the row of a newly listed endpoint. The caller decides when it is trusted and ramps.
+ * Creates the row of a newly listed endpoint. The caller sets `trustedFromMs` and `rampFromMs` if it has to wait or to
+ * start slowly.
  *
  * @example createEndpointRow(record)
  */
--- a/packages/core/src/tables/keys.ts
+++ b/packages/core/src/tables/keys.ts
@@ -1,18 +1,18 @@
-/** The keys table: calls that may not be repeated, as their owner knows them. Lost with the box. */
+/** The keys table: calls that may run at most once, at the owner of their key. Kept in memory, lost with the box. */
 import type { AttemptRef, RequestId } from '../frames.js';
 import type { BoxId, ServiceName } from '../records.js';
 
-/** An asker whose entry box waits for the answer. */
+/** An attempt whose entry box waits for the response of a keyed call. */
 export interface KeyRequester extends AttemptRef {
   readonly entry: BoxId;
 }
 
-/** What became of a keyed call. A call that provably did not run leaves no row. */
+/** State of a keyed call. The row of a call that provably did not run is removed. */
 export type KeyState =
   | { readonly type: 'running' }
-  /** It ran, and its answer is held. */
+  /** It ran, and its response is stored on this box. */
   | { readonly type: 'done' }
-  /** It ran; the answer is not held here. */
+  /** It ran; its response is not stored on this box. */
   | { readonly type: 'answerGone' }
   /** It may have run. */
   | { readonly type: 'unknown' };
@@ -21,10 +21,10 @@
 export interface KeyRow {
   readonly key: string;
   readonly service: ServiceName;
-  /** The owner's own request that carries the call. */
+  /** The request with which the owner runs the call. */
   readonly requestId: RequestId;
   state: KeyState;
-  /** Entry boxes that wait for the answer. */
+  /** Attempts whose entry boxes wait for the response. */
   requesters: KeyRequester[];
   readonly createdMs: number;
 }
--- a/packages/core/src/tables/requests.ts
+++ b/packages/core/src/tables/requests.ts
@@ -1,8 +1,8 @@
-/** The requests table: callers' requests that entered the fleet at this box. */
+/** The requests table: callers' requests whose entry box this is, and keyed calls that this box runs as an owner. */
 import type { RequestHead, RequestId } from '../frames.js';
 import type { BoxId, EndpointId, ServiceDeclaration } from '../records.js';
 
-/** Where a request stands. */
+/** Phase of a request. */
 export type RequestPhase = 'placing' | 'accepted' | 'backingOff';
 
 /** One caller's request. */
@@ -14,17 +14,17 @@
   phase: RequestPhase;
   readonly arrivedMs: number;
   readonly deadlineMs: number;
-  /** When the present attempt was placed. */
+  /** When the current attempt was placed. */
   placedMs: number;
-  /** When to try again, while backing off. */
+  /** When the next attempt starts, while backing off. */
   retryAtMs: number;
-  /** The box last sent to; the steward once accepted. */
+  /** The box that the attempt was sent to; once accepted, the endpoint's owner. */
   targetBox: BoxId | undefined;
   endpointId: EndpointId | undefined;
-  /** Part of the answer has reached the caller. */
+  /** Whether part of the response was sent to the caller. */
   responseStarted: boolean;
-  /** This box owns the request's key and carries the call itself. */
+  /** Whether this box runs the call as the owner of its idempotency key. */
   readonly isKeyOwner: boolean;
-  /** The caller's streamed body has been read and is gone. */
+  /** Whether the caller's streamed body was read; it cannot be read again. */
   bodyTaken: boolean;
 }
--- a/packages/core/src/tables/values.ts
+++ b/packages/core/src/tables/values.ts
@@ -1,4 +1,4 @@
-/** The published values table: declared file, box list and endpoint list as last accepted. */
+/** The published values table: the declared file, box list and endpoint list that are in force. */
 import type { ValueStamp } from '../frames.js';
 import type { ValueName } from '../records.js';
 import type { Problem } from '../resultCodes.js';
@@ -6,22 +6,22 @@
 /** One published value. */
 export interface ValueRow {
   readonly name: ValueName;
-  /** Version 0: none accepted yet. */
+  /** Version 0 if no text has been accepted yet. */
   stamp: ValueStamp;
-  /** The bytes as published; peers get them unchanged. */
+  /** The text as published; peers are sent it unchanged. */
   text: string;
   acceptedAtMs: number;
-  /** Why the newest refused text was refused; empty after an acceptance. */
+  /** Problems of the last rejected text; empty after a text has been accepted. */
   problems: readonly Problem[];
-  /** When this value was last asked of a peer. */
+  /** When this value was last requested from a peer. */
   requestedAtMs: number;
 }
 
-/** Stamp of a value not yet seen. */
+/** Stamp of a value that has not been received. */
 export const NO_STAMP: ValueStamp = [0, 0];
 
 /**
- * Orders two stamps: by version, then by digest, so that every box settles on the same of two rivals.
+ * Compares two stamps by version, then by digest, so that all boxes choose the same of two values with one version.
  *
  * @example isNewer([3, 1], [2, 9]) // true
  */
--- a/packages/core/src/world.ts
+++ b/packages/core/src/world.ts
@@ -1,5 +1,5 @@
 /**
- * The world: all tables of one box. Systems read and change it; only `runTurn` drives them.
+ * The world: the complete state of one box. Systems read and modify it; only `runTurn` calls them.
  */
 import type { CoreSettings } from './coreSettings.js';
 import type { CounterName, Effect } from './effects.js';
@@ -31,22 +31,22 @@
 import type { ValueRow } from './tables/values.js';
 import type { RequestId, ValueStamp } from './frames.js';
 
-/** Who this box is. */
+/** Identity of this box. */
 export interface SelfIdentity {
   readonly boxId: BoxId;
   readonly hall: HallName;
-  /** New at every start, so that a restarted box is not taken for its former self. */
+  /** Changes at every start, so that a restarted box can be told from its previous run. */
   readonly incarnation: string;
 }
 
-/** Checks of published texts. Each verdict depends on nothing but the text. */
+/** Parsers of the published texts. Each result depends only on the text, so that all boxes get the same one. */
 export interface ValueParsers {
   readonly declared: (text: string) => Result<Declaration, readonly Problem[]>;
   readonly boxes: (text: string) => Result<BoxList, readonly Problem[]>;
   readonly endpoints: (text: string) => Result<EndpointList, readonly Problem[]>;
 }
 
-/** What the core needs from outside. */
+/** External dependencies of the core. */
 export interface CoreDependencies {
   readonly hasher: Hasher;
   /** Uniform in [0, 1). */
@@ -54,7 +54,7 @@
   readonly parsers: ValueParsers;
 }
 
-/** The declared file, indexed. */
+/** The declared file, indexed by name. */
 export interface DeclaredIndex {
   readonly declaration: Declaration;
   readonly teams: ReadonlyMap<TeamName, TeamDeclaration>;
@@ -67,7 +67,7 @@
   readonly byHall: ReadonlyMap<HallName, readonly BoxId[]>;
 }
 
-/** Everything one box knows. */
+/** The complete state of one box. */
 export interface World {
   readonly self: SelfIdentity;
   readonly settings: CoreSettings;
@@ -82,50 +82,50 @@
   readonly directory: ChatDirectory;
   readonly values: Record<ValueName, ValueRow>;
   declared: DeclaredIndex | undefined;
-  /** Newest stamp that any peer showed. */
+  /** Newest stamp of each value in any peer's heartbeat. */
   readonly newestPeerStamps: Record<ValueName, ValueStamp>;
-  /** When each value was last confirmed with the platform, by a box's clock. */
+  /** When the platform last confirmed each value to any box, by the clock of the box that asked. */
   readonly confirmedAtMs: Record<ValueName, number>;
-  /** Whether the platform last answered with an older value than the one in force. */
+  /** Whether the last text read from the platform did not come into force, as when the platform serves an older one. */
   readonly platformIsOlder: Record<ValueName, boolean>;
 
   readonly keys: Map<string, KeyRow>;
-  /** Last words of boxes that stopped as planned. */
+  /** Key handovers of boxes that shut down gracefully. */
   readonly keyHandovers: Map<BoxId, KeyHandover>;
-  /** Who may own keys, oldest first. */
+  /** Epochs of key ownership, oldest first. */
   readonly keyOwnershipEpochs: KeyOwnershipEpoch[];
-  /** Set when a box list or declared file skipped a version. */
+  /** Set when a version of the box list or of the declared file was skipped. */
   hasMissedVersion: boolean;
-  /** Tickets up to this one are no longer in the table. */
+  /** Tickets with a serial up to this one may have been evicted from the table. */
   evictedUpToSerial: number;
-  /** Timed keys up to this time are no longer in the table. */
+  /** Timed keys with a time up to this one may have been evicted from the table. */
   evictedUpToTimeMs: number;
-  /** Keys that wait for the platform to confirm the lists, oldest first. */
+  /** Requests for keys that wait until the platform confirms the lists, oldest first. */
   heldKeys: HeldKey[];
-  /** How asking the platform for that goes. */
+  /** State of the call to the platform that they wait for. */
   listConfirmation: ListConfirmation;
-  /** When a doubt about a key was last logged. */
+  /** When an uncertainty about a key was last logged. */
   uncertaintyLoggedAtMs: number;
-  /** Calls this box has carried as an owner. */
+  /** Number of calls that this box has run as the owner of their key. */
   keyedCallCount: number;
-  /** Retries each service may still spend. */
+  /** Retries that each service may still use. */
   readonly retryBudgets: Map<ServiceName, number>;
 
   /** Derived from boxes by the membership system. */
   live: LiveBoxes;
-  /** Derived from endpoints by the stewardship system. */
+  /** Derived from endpoints by the endpoint ownership system. */
   endpointsByService: Map<ServiceName, EndpointRow[]>;
-  /** Endpoints listed as live, by service; derived with it. */
+  /** Endpoints listed as live, by service; derived together with `endpointsByService`. */
   liveEndpointIds: ReadonlyMap<ServiceName, readonly EndpointId[]>;
-  /** Set when live boxes or endpoints changed, so that derived tables are made anew. */
+  /** Set when live boxes or endpoints changed, so that the derived tables are recomputed. */
   topologyChanged: boolean;
-  /** Set when other boxes may be the ones to watch the platform. */
+  /** Set when the choice of boxes that watch the platform may have changed. */
   watchersChanged: boolean;
-  /** Set when keys may have other owners. */
+  /** Set when the owners of keys may have changed. */
   keyOwnershipChanged: boolean;
-  /** Set when a home box may have changed for some chats. */
+  /** Set when the home box of some chats may have changed, so that their directory entries must be handed over. */
   directoryHandoverPending: boolean;
-  /** How the last call to the platform went; `unknown` while this box has not had to ask. */
+  /** Result of the last call to the platform; `unknown` before the first one. */
   platformConnectivity: 'unknown' | 'ok' | 'failed';
   nextHeartbeatMs: number;
   nextSweepMs: number;
@@ -133,12 +133,12 @@
   stop: StopState;
   watchedValueNames: string;
 
-  /** Endpoints with calls waiting whose turn may have come. */
+  /** Endpoints whose queued calls may be able to start. */
   readonly dirtyEndpoints: Set<EndpointRow>;
   effects: Effect[];
 }
 
-/** A planned stop's progress. */
+/** Progress of a graceful shutdown. */
 export type StopState =
   | { readonly type: 'running' }
   | { readonly type: 'draining'; readonly sinceMs: number }
@@ -153,7 +153,7 @@
 }
 
 /**
- * Creates the world of a box that has just started and knows nothing yet.
+ * Creates the world of a box that has just started and has no published values.
  *
  * @example createWorld({ boxId: 'b1', hall: 'mixco', incarnation: 'k3' }, DEFAULT_CORE_SETTINGS, deps, 0)
  */
@@ -208,12 +208,12 @@
   };
 }
 
-/** Hands an instruction to the adapters at the end of the turn. */
+/** Adds an effect, which the adapters carry out after the turn. */
 export function emit(world: World, effect: Effect): void {
   world.effects.push(effect);
 }
 
-/** Counts one occurrence. */
+/** Increments a counter. */
 export function count(world: World, counter: CounterName): void {
   world.effects.push({ type: 'count', counter });
 }
