--- a/packages/core/src/systems/admission.ts
+++ b/packages/core/src/systems/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Admission: what a steward does with an assignment. It takes it, lets it wait a little, passes it on to the next
- * candidate, or refuses it at once.
+ * Admission: how an endpoint's owner handles an assignment. It starts the call, queues it for a short time, forwards
+ * the assignment to the next candidate, or refuses it immediately.
  */
 import type { AssignFrame, AttemptRef, ControlFrame, LoadEntry, RefusedFrame } from '../frames.js';
 import type { BoxId, EndpointId, ServiceDeclaration } from '../records.js';
@@ -17,19 +17,19 @@
 import { handleKeyed } from './keys.js';
 import { isInService, listOwnedLoads, applyObservedLoads } from './endpointOwnership.js';
 
-/** Retry-After is spread over this multiple of its smallest value. */
+/** Upper end of the Retry-After jitter, as a multiple of its smallest value. */
 const RETRY_AFTER_SPREAD = 2;
 
-/** A waiting call is refused this long before its deadline, so that the word reaches the entry box in time. */
+/** A queued call is refused this long before its deadline, so that the refusal reaches the entry box in time. */
 const REFUSAL_LEAD_MS = 50;
 
-/** Spreads the time to come back, so that refused callers do not return together. */
+/** Adds jitter to Retry-After, so that refused callers do not return at the same time. */
 export function spreadRetryAfter(world: World, leastMs: number): number {
   const baseMs = Math.max(leastMs, world.settings.retryAfterMs);
   return Math.round(baseMs * (1 + world.deps.random() * (RETRY_AFTER_SPREAD - 1)));
 }
 
-/** Sends a frame, or hands it straight to this box's own role if it is the addressee. */
+/** Sends a frame, or handles it directly if this box is the receiver. */
 export function sendToBox(world: World, to: BoxId, frame: ControlFrame): void {
   if (to !== world.self.boxId) return emit(world, { type: 'send', to, frame });
   switch (frame.type) {
@@ -55,31 +55,31 @@
   }
 }
 
-/** An attempt and the box where its caller waits. */
+/** An attempt and its entry box. */
 interface PlacedAttempt extends AttemptRef {
   readonly entry: BoxId;
 }
 
-/** Tells the entry box that an attempt is over. */
+/** Sends the refusal of an attempt to its entry box. */
 export function refuseAttempt(
   world: World,
-  placed: PlacedAttempt,
+  attempt: PlacedAttempt,
   code: ResultCode,
   ran: Ran,
   waitMs = 0,
 ): void {
   const frame: RefusedFrame = {
     type: 'refused',
-    requestId: placed.requestId,
-    attempt: placed.attempt,
+    requestId: attempt.requestId,
+    attempt: attempt.attempt,
     code,
     ran,
     retryAfterMs: spreadRetryAfter(world, waitMs),
   };
-  sendToBox(world, placed.entry, frame);
+  sendToBox(world, attempt.entry, frame);
 }
 
-/** Sends an assignment to the steward of its first candidate, or refuses it when none is left. */
+/** Sends an assignment to the owner of its first candidate, or refuses it if no candidate is left. */
 export function routeAssignment(world: World, assign: AssignFrame): void {
   let candidates = assign.candidates;
   while (candidates.length > 0) {
@@ -92,33 +92,33 @@
 }
 
 function sendAssignment(world: World, row: EndpointRow, assign: AssignFrame): void {
-  const steward = row.ownerId ?? world.self.boxId;
-  if (steward !== world.self.boxId) row.placedSinceReport += 1;
-  sendToBox(world, steward, { ...assign, hops: assign.hops + 1 });
+  const ownerId = row.ownerId ?? world.self.boxId;
+  if (ownerId !== world.self.boxId) row.placedSinceReport += 1;
+  sendToBox(world, ownerId, { ...assign, hops: assign.hops + 1 });
 }
 
-function passOn(world: World, assign: AssignFrame, reason: ResultCode): void {
+function tryNextCandidate(world: World, assign: AssignFrame, reason: ResultCode): void {
   const rest = assign.candidates.slice(1);
   const isLast = rest.length === 0 && reason === 'overBound';
-  const candidates = isLast ? pickLeastPassed(assign) : rest;
+  const candidates = isLast ? pickLeastOverBound(assign) : rest;
   if (assign.hops >= world.settings.maxHops) return refuseAttempt(world, assign, reason, 'no');
   count(world, 'placement.spilled');
   routeAssignment(world, { ...assign, candidates, reason, isLast: assign.isLast || isLast });
 }
 
-function listPassed(assign: AssignFrame): readonly LoadEntry[] {
+function listOverBoundLoads(assign: AssignFrame): readonly LoadEntry[] {
   return assign.observed.filter(([id]) => assign.passed.includes(id));
 }
 
-function pickLeastPassed(assign: AssignFrame): EndpointId[] {
-  const [first, ...others] = listPassed(assign);
+function pickLeastOverBound(assign: AssignFrame): EndpointId[] {
+  const [first, ...others] = listOverBoundLoads(assign);
   if (first === undefined) return [];
   const least = others.reduce((best, entry) => (entry[1] < best[1] ? entry : best), first);
   return [least[0]];
 }
 
-/** Why an endpoint does not take a call at all, if so. */
-function findObstacle(world: World, row: EndpointRow, assign: AssignFrame): ResultCode | undefined {
+/** Returns why an endpoint cannot accept a call, not even in its queue; undefined if it can. */
+function findRefusalReason(world: World, row: EndpointRow, assign: AssignFrame): ResultCode | undefined {
   const service = world.declared?.services.get(assign.head.service);
   if (service === undefined || !isInService(world, row)) return 'noEndpoint';
   if (isAtTeamLimit(world, row, service, assign.head.team)) return 'teamLimit';
@@ -134,55 +134,55 @@
 ): boolean {
   const { type } = world.settings.policy;
   if (service.kind !== 'model' || type === 'leastLoaded' || type === 'roundRobin') return false;
-  const rows = assign.isLast ? listPassedRows(world, assign) : listUsable(world, service);
+  const rows = assign.isLast ? listOverBoundRows(world, assign) : listUsable(world, service);
   const summary = summariseLoad(world, rows);
   return readLoad(world, row) + 1 > computeBoundCap(world, service, row, summary);
 }
 
-function listPassedRows(world: World, assign: AssignFrame): EndpointRow[] {
-  return listPassed(assign).flatMap(([id]) => world.endpoints.get(id) ?? []);
+function listOverBoundRows(world: World, assign: AssignFrame): EndpointRow[] {
+  return listOverBoundLoads(assign).flatMap(([id]) => world.endpoints.get(id) ?? []);
 }
 
-/** How long a call that starts to wait now would wait. */
+/** Estimates how long a call would wait if it were queued now. */
 function estimateWaitMs(row: EndpointRow, service: ServiceDeclaration): number {
   return ((row.waiting + 1) * row.meanServiceMs) / service.maxInFlightPerEndpoint;
 }
 
-/** Acts on an assignment as the steward of its first candidate. */
+/** Handles an assignment as the owner of its first candidate. */
 export function handleAssign(world: World, assign: AssignFrame): void {
   const [first] = assign.candidates;
   const row = first === undefined ? undefined : world.endpoints.get(first);
-  if (row === undefined) return passOn(world, assign, 'noEndpoint');
+  if (row === undefined) return tryNextCandidate(world, assign, 'noEndpoint');
   if (row.ownerId !== world.self.boxId) return forwardAssignment(world, row, assign);
   applyObservedLoads(world, assign.observed);
-  const obstacle = findObstacle(world, row, assign);
-  if (obstacle === 'overBound') return passOn(world, observe(world, row, assign), obstacle);
-  if (obstacle !== undefined) return passOn(world, assign, obstacle);
-  takeCall(world, row, assign);
+  const reason = findRefusalReason(world, row, assign);
+  if (reason === 'overBound') return tryNextCandidate(world, addObservedLoad(world, row, assign), reason);
+  if (reason !== undefined) return tryNextCandidate(world, assign, reason);
+  acceptOrForwardCall(world, row, assign);
 }
 
-/** Adds this engine's exact load to what the next candidates learn. */
-function observe(world: World, row: EndpointRow, assign: AssignFrame): AssignFrame {
+/** Adds this engine's exact load to the loads sent along to the owners of the next candidates. */
+function addObservedLoad(world: World, row: EndpointRow, assign: AssignFrame): AssignFrame {
   const others = assign.observed.filter(([id]) => id !== row.id);
   const passed = [...assign.passed.filter((id) => id !== row.id), row.id];
   return { ...assign, passed, observed: [...others, [row.id, readLoad(world, row)]] };
 }
 
-/** Lists disagree: another box is the steward in this box's view. */
+/** Forwards an assignment for an endpoint that another box owns in this box's view, as happens while lists differ. */
 function forwardAssignment(world: World, row: EndpointRow, assign: AssignFrame): void {
   if (row.ownerId === undefined || assign.hops >= world.settings.maxHops) {
-    return passOn(world, assign, 'noEndpoint');
+    return tryNextCandidate(world, assign, 'noEndpoint');
   }
   count(world, 'placement.forwarded');
   sendAssignment(world, row, assign);
 }
 
-function takeCall(world: World, row: EndpointRow, assign: AssignFrame): void {
+function acceptOrForwardCall(world: World, row: EndpointRow, assign: AssignFrame): void {
   const service = world.declared?.services.get(assign.head.service);
-  if (service === undefined) return passOn(world, assign, 'noEndpoint');
+  if (service === undefined) return tryNextCandidate(world, assign, 'noEndpoint');
   const startsNow = row.waiting === 0 && canStart(world, row, service, assign.head.team);
   const waitMs = startsNow ? 0 : estimateWaitMs(row, service);
-  if (waitMs > 0 && assign.candidates.length > 1) return passOn(world, assign, 'overloaded');
+  if (waitMs > 0 && assign.candidates.length > 1) return tryNextCandidate(world, assign, 'overloaded');
   if (waitMs > service.maxQueueMs) return refuseAttempt(world, assign, 'overloaded', 'no', waitMs);
   if (waitMs > assign.head.remainingMs) return refuseAttempt(world, assign, 'deadlineTooShort', 'no', waitMs);
   admitCall(world, row, assign, startsNow);
@@ -198,17 +198,17 @@
     deadlineMs: world.nowMs + assign.head.remainingMs,
   };
   world.calls.set(attemptKey(assign), call);
-  announceCall(world, row, assign);
+  reportAcceptance(world, row, assign);
   if (startsNow) return startCall(world, row, call);
   enqueueCall(row, call);
   world.dirtyEndpoints.add(row);
 }
 
-function announceCall(world: World, row: EndpointRow, assign: AssignFrame): void {
+function reportAcceptance(world: World, row: EndpointRow, assign: AssignFrame): void {
   const { requestId, attempt, entry, home, head } = assign;
   const loads = listOwnedLoads(world);
   sendToBox(world, entry, { type: 'accepted', requestId, attempt, endpoint: row.id, loads });
-  // The home box took its own first choice for granted.
+  // The home box has already recorded its first choice.
   const isFirstChoice = assign.hops <= 1;
   if (home !== '' && !isFirstChoice)
     sendToBox(world, home, { type: 'placed', service: head.service, chat: head.chat, endpoint: row.id });
@@ -231,7 +231,7 @@
   });
 }
 
-/** Takes a call off the tables; the endpoint may then start another. */
+/** Removes a call from the tables; the endpoint may then be able to start another. */
 export function removeCall(world: World, key: string): CallRow | undefined {
   const call = world.calls.get(key);
   if (call === undefined) return undefined;
@@ -244,7 +244,7 @@
   return call;
 }
 
-/** Stops a call that its entry box no longer wants. */
+/** Cancels a call. */
 export function cancelCall(world: World, key: string): void {
   const call = removeCall(world, key);
   if (call === undefined || call.phase === 'waiting') return;
@@ -252,15 +252,15 @@
   emit(world, { type: 'cancelCall', requestId, attempt });
 }
 
-/** Gives a call that never reached its endpoint to the next candidate. */
-export function passOnUnsentCall(world: World, call: CallRow): void {
+/** Forwards a call that was never sent to its endpoint to the next candidate. */
+export function rerouteUnsentCall(world: World, call: CallRow): void {
   const remainingMs = call.deadlineMs - world.nowMs;
   const assign = { ...call.assign, head: { ...call.assign.head, remainingMs } };
   if (remainingMs <= 0) return refuseAttempt(world, assign, 'deadlineTooShort', 'no');
-  passOn(world, assign, 'connectFailed');
+  tryNextCandidate(world, assign, 'connectFailed');
 }
 
-function startWaiting(world: World, row: EndpointRow): void {
+function startWaitingCalls(world: World, row: EndpointRow): void {
   let call = pickNextCall(world, row);
   while (call !== undefined) {
     dequeueCall(row, call);
@@ -269,24 +269,24 @@
   }
 }
 
-/** Starts waiting calls wherever room was made. */
+/** Starts queued calls at endpoints whose capacity or queue has changed. */
 export function runAdmission(world: World): void {
   for (const row of world.dirtyEndpoints) {
-    if (row.waiting > 0) startWaiting(world, row);
+    if (row.waiting > 0) startWaitingCalls(world, row);
   }
   world.dirtyEndpoints.clear();
 }
 
-/** Refuses waiting calls whose turn can no longer come, and drops the calls of entry boxes that are gone. */
+/** Refuses or reroutes queued calls that can no longer start, and cancels calls whose entry box is gone. */
 export function sweepCalls(world: World, isEntryGone: (entry: BoxId) => boolean): void {
   for (const [key, call] of world.calls) {
-    if (isEntryGone(call.assign.entry)) dropOrphan(world, key, call);
+    if (isEntryGone(call.assign.entry)) cancelOrphan(world, key, call);
     else if (call.phase === 'waiting') sweepWaiting(world, key, call);
   }
 }
 
-/** An orphan whose effects cannot be taken back is left to end by itself. */
-function dropOrphan(world: World, key: string, call: CallRow): void {
+/** A running call of a plain service is left to complete, since a cancellation would not undo its effects. */
+function cancelOrphan(world: World, key: string, call: CallRow): void {
   const service = world.declared?.services.get(call.assign.head.service);
   const mayStop = call.phase === 'waiting' || service?.kind === 'model';
   if (mayStop) cancelCall(world, key);
@@ -300,5 +300,5 @@
   if (!isLate && isServed) return;
   removeCall(world, key);
   if (isLate) return refuseAttempt(world, call.assign, 'deadlineTooShort', 'no');
-  passOnUnsentCall(world, call);
+  rerouteUnsentCall(world, call);
 }
--- a/packages/core/src/systems/chatDirectory.ts
+++ b/packages/core/src/systems/chatDirectory.ts
@@ -1,5 +1,6 @@
 /**
- * Chat directory: which engines hold the chats that this box is home to, and its hand-over when homes move.
+ * Chat directory: the warm engines of the chats whose home box this is, and the handover of entries when home boxes
+ * change.
  */
 import type { DirectoryFrame, PlacedFrame } from '../frames.js';
 import { pickByRendezvous } from '../hasher.js';
@@ -11,7 +12,7 @@
 const KEY_SEPARATOR = '/';
 
 /**
- * Key of a chat in the directory.
+ * Returns the key of a chat in the directory.
  *
  * @example directoryKey('assistant', 'chat-1') // 'assistant/chat-1'
  */
@@ -20,14 +21,15 @@
 }
 
 /**
- * The box that keeps a chat's entry, in this box's view: the steward of the chat's first choice among the listed
- * engines. In the usual case the home box thus speaks to the engine itself, and one hop is saved.
+ * Returns the home box of a chat, in this box's view: the box that stores the chat's directory entry (its partition
+ * owner). It is the owner of the chat's first choice among the listed engines: in the usual case the home box thus
+ * calls the engine itself, which saves one hop.
  */
 export function findHomeBox(world: World, model: ServiceName, chat: ChatId): BoxId | undefined {
   const { hasher } = world.deps;
   const engineId = pickByRendezvous(hasher, chat, world.liveEndpointIds.get(model) ?? []);
-  const steward = engineId === undefined ? undefined : world.endpoints.get(engineId)?.ownerId;
-  return steward ?? pickByRendezvous(hasher, chat, world.live.all);
+  const ownerId = engineId === undefined ? undefined : world.endpoints.get(engineId)?.ownerId;
+  return ownerId ?? pickByRendezvous(hasher, chat, world.live.all);
 }
 
 function findHomeOfKey(world: World, key: string): BoxId | undefined {
@@ -35,12 +37,12 @@
   return findHomeBox(world, key.slice(0, at), key.slice(at + 1));
 }
 
-/** Notes the engine that took a chat in place of the first choice. */
+/** Records the engine that accepted a chat's request in place of the first choice. */
 export function handlePlaced(world: World, frame: PlacedFrame): void {
   world.directory.recordEngine(directoryKey(frame.service, frame.chat), frame.endpoint);
 }
 
-/** Takes over entries from a box that is no longer home to them. */
+/** Adds entries handed over by their former home box. */
 export function handleDirectory(world: World, frame: DirectoryFrame): void {
   for (const [key, endpoints] of frame.entries) world.directory.addIfMissing(key, endpoints);
 }
@@ -62,7 +64,7 @@
   return moved;
 }
 
-/** Sends up to `limit` entries to the boxes that are now home to them. Returns how many were sent. */
+/** Hands over up to `limit` entries to their new home boxes and removes them here. Returns how many were sent. */
 export function handOverEntries(world: World, limit: number): number {
   let sent = 0;
   for (const [home, entries] of collectMovedEntries(world, limit)) {
--- a/packages/core/src/systems/configuration.ts
+++ b/packages/core/src/systems/configuration.ts
@@ -1,8 +1,8 @@
 /**
- * Configuration: published values are accepted whole, only ever replaced by newer ones, and spread between boxes.
+ * Configuration: a published value is accepted as a whole, replaced only by a newer one, and distributed between boxes.
  *
- * A few boxes of each hall watch the platform; the rest learn of a newer value from a peer's heartbeat and ask for
- * it. A watcher that cannot reach the platform is passed over, so that the reading falls to whoever can.
+ * A few boxes of each hall watch the platform; the others see a newer version in a peer's heartbeat and request it from
+ * that peer. Boxes that cannot reach the platform are skipped in the choice of watchers.
  */
 import type { HeartbeatFrame, ValueFrame, ValueStamp } from '../frames.js';
 import { rankByRendezvous } from '../hasher.js';
@@ -17,7 +17,7 @@
 import { applyBoxList } from './membership.js';
 import { applyEndpointList } from './endpointOwnership.js';
 
-/** A request for a value is repeated after this long without an answer. */
+/** Time without a response after which a value is requested again. */
 const VALUE_REQUEST_TIMEOUT_MS = 1_000;
 
 function indexDeclaration(declaration: Declaration): DeclaredIndex {
@@ -28,7 +28,7 @@
   };
 }
 
-function parseAndApply(world: World, name: ValueName, text: string): Result<ParsedValue, readonly Problem[]> {
+function parseValue(world: World, name: ValueName, text: string): Result<ParsedValue, readonly Problem[]> {
   const { parsers } = world.deps;
   switch (name) {
     case 'declared':
@@ -61,18 +61,18 @@
   count(world, 'value.rejected');
   const first = problems[0];
   const detail = first === undefined ? 'no reason given' : formatProblem(first);
-  emit(world, { type: 'log', level: 'warn', message: `refused ${name}: ${detail}` });
+  emit(world, { type: 'log', level: 'warn', message: `rejected published value "${name}": ${detail}` });
 }
 
 /**
- * Accepts a published text if it is valid and newer than the one in force; otherwise leaves everything as it is.
+ * Accepts a published text if it is valid and newer than the one in force; otherwise the latter stays in force.
  *
  * @example acceptText(world, 'declared', toml)
  */
 export function acceptText(world: World, name: ValueName, text: string): void {
   const row = world.values[name];
   if (text === row.text) return;
-  const parsed = parseAndApply(world, name, text);
+  const parsed = parseValue(world, name, text);
   if (parsed.err) return rejectText(world, name, parsed.val);
   const stamp: ValueStamp = [parsed.val.version, world.deps.hasher.h32(text)];
   if (row.text !== '' && stamp[0] === row.stamp[0]) count(world, 'value.conflict');
@@ -87,24 +87,26 @@
   world.keyOwnershipChanged = true;
   count(world, 'value.accepted');
   emit(world, { type: 'log', level: 'info', message: `${name} version ${stamp[0]} is in force` });
-  // Peers learn of it from the next heartbeat; that one goes out now rather than in its turn.
+  // The next heartbeat announces the version to peers; it is sent immediately instead of at its regular time.
   world.nextHeartbeatMs = world.nowMs;
 }
 
-/** A peer's word on a value: that it holds a newer one, or that the same one was confirmed since. */
-function noteStamp(world: World, name: ValueName, theirs: ValueStamp, confirmedAtMs: number): void {
+/** Records a peer's stamp of a value: the newest version seen, and a newer confirmation of the version in force. */
+function recordPeerStamp(world: World, name: ValueName, theirs: ValueStamp, confirmedAtMs: number): void {
   if (isNewer(theirs, world.newestPeerStamps[name])) world.newestPeerStamps[name] = theirs;
   if (isNewer(world.values[name].stamp, theirs)) return;
   world.confirmedAtMs[name] = Math.max(world.confirmedAtMs[name], confirmedAtMs);
 }
 
-/** Asks a peer for the values of which it holds a newer version. */
+/**
+ * Compares the stamps in a peer's heartbeat with this box's, and requests values of which the peer has a newer version.
+ */
 export function compareStamps(world: World, from: BoxId, frame: HeartbeatFrame): void {
   VALUE_NAMES.forEach((name, index) => {
     const theirs = frame.stamps[index];
     const row = world.values[name];
     if (theirs === undefined) return;
-    noteStamp(world, name, theirs, frame.confirmedAtMs[index] ?? 0);
+    recordPeerStamp(world, name, theirs, frame.confirmedAtMs[index] ?? 0);
     if (!isNewer(theirs, row.stamp)) return;
     if (world.nowMs - row.requestedAtMs < VALUE_REQUEST_TIMEOUT_MS) return;
     row.requestedAtMs = world.nowMs;
@@ -112,58 +114,65 @@
   });
 }
 
-/** Gives a peer the value it asked for. */
+/** Sends a peer the value that it requested, if this box has it. */
 export function handleValueRequest(world: World, from: BoxId, name: ValueName): void {
   const { text } = world.values[name];
   if (text !== '') emit(world, { type: 'send', to: from, frame: { type: 'value', name, text } });
 }
 
-/** Takes a value from a peer as if it had been read from the platform. */
+/** Handles a value received from a peer in the same way as one read from the platform. */
 export function handleValue(world: World, frame: ValueFrame): void {
   acceptText(world, frame.name, frame.text);
 }
 
-/** Notes whether the platform answered. */
-export function handlePlatformContact(world: World, name: ValueName, ok: boolean, askedAtMs: number): void {
-  const contact = ok ? 'ok' : 'failed';
-  if (contact !== world.platformConnectivity) world.watchersChanged = true;
-  world.platformConnectivity = contact;
+/** Records the result of a call to the platform; a successful one confirms the value as of the time of the request. */
+export function handlePlatformContact(
+  world: World,
+  name: ValueName,
+  ok: boolean,
+  requestedAtMs: number,
+): void {
+  const connectivity = ok ? 'ok' : 'failed';
+  if (connectivity !== world.platformConnectivity) world.watchersChanged = true;
+  world.platformConnectivity = connectivity;
   if (!ok) world.listConfirmation.hasFailed = true;
   if (!ok || world.platformIsOlder[name]) return;
-  world.confirmedAtMs[name] = Math.max(world.confirmedAtMs[name], askedAtMs);
+  world.confirmedAtMs[name] = Math.max(world.confirmedAtMs[name], requestedAtMs);
 }
 
-/** Takes a text that the platform answered with; one older than the text in force confirms nothing. */
+/** Handles a text read from the platform. If another text stays in force, the read confirms nothing. */
 export function handleValueRead(world: World, name: ValueName, text: string): void {
   acceptText(world, name, text);
   world.platformIsOlder[name] = text !== world.values[name].text;
 }
 
 function isWatcher(world: World, name: ValueName): boolean {
-  // A box that cannot reach the platform keeps trying, but is no longer one of the watchers that others count on.
+  // A box that cannot reach the platform keeps trying, but is not counted among the watchers of its hall.
   if (world.platformConnectivity === 'failed') return true;
   const hallBoxes = world.live.byHall.get(world.self.hall) ?? [];
-  const able = hallBoxes.filter((id) => id === world.self.boxId || world.boxes.get(id)?.platformOk === true);
-  const ranked = rankByRendezvous(world.deps.hasher, name, able);
+  const connectedIds = hallBoxes.filter(
+    (id) => id === world.self.boxId || world.boxes.get(id)?.platformOk === true,
+  );
+  const ranked = rankByRendezvous(world.deps.hasher, name, connectedIds);
   return ranked.slice(0, world.settings.watchersPerValue).includes(world.self.boxId);
 }
 
-/** Decides which values this box watches on the platform. */
+/** Updates which values this box watches on the platform. */
 export function runConfiguration(world: World): void {
   if (!world.watchersChanged) return;
   world.watchersChanged = false;
-  const knowsPeers = world.values.boxes.text !== '';
+  const hasBoxList = world.values.boxes.text !== '';
   const names = VALUE_NAMES.filter(
-    (name) => !knowsPeers || world.values[name].text === '' || isWatcher(world, name),
+    (name) => !hasBoxList || world.values[name].text === '' || isWatcher(world, name),
   );
-  const key = names.join();
-  if (key === world.watchedValueNames) return;
-  world.watchedValueNames = key;
+  const joinedNames = names.join();
+  if (joinedNames === world.watchedValueNames) return;
+  world.watchedValueNames = joinedNames;
   emit(world, { type: 'watchValues', names });
 }
 
-/** Tells whether the box knows enough to take callers. */
+/** Whether the box has all published values and is not stopping, so that it can accept callers' requests. */
 export function isReady(world: World): boolean {
-  const knowsAll = world.declared !== undefined && world.values.endpoints.text !== '';
-  return knowsAll && world.values.boxes.text !== '' && world.stop.type === 'running';
+  const hasConfiguration = world.declared !== undefined && world.values.endpoints.text !== '';
+  return hasConfiguration && world.values.boxes.text !== '' && world.stop.type === 'running';
 }
--- a/packages/core/src/systems/drain.ts
+++ b/packages/core/src/systems/drain.ts
@@ -1,5 +1,6 @@
 /**
- * Drain: a planned stop. New work is refused, what is in flight ends, the directory goes to its new homes.
+ * Drain: graceful shutdown. New requests are refused, requests in flight are completed, directory entries and keys are
+ * handed over.
  */
 import type { World } from '../world.js';
 import { emit } from '../world.js';
@@ -9,7 +10,7 @@
 import { broadcastHeartbeat } from './heartbeats.js';
 import { runEndpointOwnership } from './endpointOwnership.js';
 
-/** Begins a planned stop: peers are told at once, so that no new work comes this way. */
+/** Starts a graceful shutdown and notifies peers immediately, so that they send no new work. */
 export function handleStopRequested(world: World): void {
   if (world.stop.type !== 'running') return;
   world.stop = { type: 'draining', sinceMs: world.nowMs };
@@ -19,14 +20,14 @@
   handOverEntries(world, Infinity);
 }
 
-/** Ends the stop once nothing is in flight, or when it has taken too long. */
+/** Completes the shutdown once nothing is in flight and peers had time to react, or when its time limit has passed. */
 export function runDrain(world: World): void {
   if (world.stop.type !== 'draining') return;
   const isIdle = world.requests.size === 0 && world.calls.size === 0 && world.heldKeys.length === 0;
   const isOverdue = world.nowMs - world.stop.sinceMs > world.settings.drainTimeoutMs;
   const graceMs = world.settings.heartbeatMs;
-  const peersKnow = world.nowMs - world.stop.sinceMs >= graceMs;
-  if (!isOverdue && !(isIdle && peersKnow)) return;
+  const arePeersNotified = world.nowMs - world.stop.sinceMs >= graceMs;
+  if (!isOverdue && !(isIdle && arePeersNotified)) return;
   handOverKeys(world);
   world.stop = { type: 'stopped' };
   emit(world, { type: 'stopped' });
--- a/packages/core/src/systems/endpointOwnership.ts
+++ b/packages/core/src/systems/endpointOwnership.ts
@@ -1,5 +1,5 @@
 /**
- * Stewardship: which box speaks to which endpoint, and whether an endpoint may get work.
+ * Endpoint ownership: which box sends all calls to an endpoint, and whether an endpoint may get work.
  */
 import type { LoadEntry } from '../frames.js';
 import { pickByRendezvous } from '../hasher.js';
@@ -9,18 +9,20 @@
 import type { World } from '../world.js';
 import { emit } from '../world.js';
 
-/** Load that a steward reports for an endpoint that takes no work. */
+/** Load that an owner reports for an endpoint that accepts no work. */
 export const TAKES_NO_WORK = -1;
 
-function admitNewRow(world: World, record: EndpointRecord, isFirstList: boolean): void {
+function addRow(world: World, record: EndpointRecord, isFirstList: boolean): void {
   const row = createEndpointRow(record);
-  // Everything on the first list was there before this box: it neither ramps nor has to prove itself.
+  // Endpoints of the first list existed before this box started: they need neither a slow start nor a probation.
   if (!isFirstList) row.rampFromMs = world.nowMs;
   world.endpoints.set(record.id, row);
 }
 
-/** An endpoint that comes back soon has flapped: it must stay up before it is trusted again. */
-function readmitRow(world: World, row: EndpointRow): void {
+/**
+ * An endpoint that is listed again soon after its removal has flapped: it must stay listed before it gets work again.
+ */
+function relistRow(world: World, row: EndpointRow): void {
   const awayMs = world.nowMs - row.absentSinceMs;
   row.flaps = awayMs > world.settings.flapMemoryMs ? 0 : row.flaps + 1;
   row.trustedFromMs = world.nowMs + row.flaps * world.settings.flapHoldMs;
@@ -29,7 +31,7 @@
   row.foreignLoad = 0;
 }
 
-/** Takes over a newly accepted endpoint list. */
+/** Applies a newly accepted endpoint list. */
 export function applyEndpointList(world: World, list: EndpointList): void {
   const isFirstList = world.endpoints.size === 0;
   const listedIds = new Set(list.endpoints.map((record) => record.id));
@@ -40,44 +42,44 @@
   for (const record of list.endpoints) {
     const row = world.endpoints.get(record.id);
     if (row === undefined) {
-      admitNewRow(world, record, isFirstList);
+      addRow(world, record, isFirstList);
       continue;
     }
-    if (!row.listed) readmitRow(world, row);
+    if (!row.listed) relistRow(world, row);
     row.listed = true;
     row.record = record;
   }
   world.topologyChanged = true;
 }
 
-/** Tells whether an endpoint may get new work as far as its listing and record go. */
+/** Whether an endpoint may get new work by its listing, its own reports and its record of failures. */
 export function isInService(world: World, row: EndpointRow): boolean {
   if (!row.listed || row.record.state === 'leaving' || row.reportedLeaving) return false;
   return world.nowMs >= row.trustedFromMs && world.nowMs >= row.ejectedUntilMs;
 }
 
-/** Tells whether this box may send work towards an endpoint: in service, and its steward says so too. */
+/** Whether this box may assign work to an endpoint: it is in service, and its owner reports that it accepts work. */
 export function isUsable(world: World, row: EndpointRow): boolean {
   if (!isInService(world, row) || row.ownerId === undefined) return false;
   if (row.ownerId === world.self.boxId) return true;
   return row.ownerReportedLoad >= 0;
 }
 
-function pickSteward(world: World, row: EndpointRow): BoxId | undefined {
+function pickOwner(world: World, row: EndpointRow): BoxId | undefined {
   if (world.settings.policy.type !== 'steward') return world.self.boxId;
   const { hasher } = world.deps;
   const hallBoxes = world.live.byHall.get(row.record.hall) ?? [];
-  // With no box of its hall left, any box may speak to it, if it can reach it.
+  // If its hall has no live box, any live box may own it.
   const candidates = hallBoxes.length > 0 ? hallBoxes : world.live.all;
   return pickByRendezvous(hasher, row.id, candidates);
 }
 
-/** Starts afresh what is known of an endpoint that this box has come to speak to or has ceased to. */
-function changeSteward(world: World, row: EndpointRow, steward: BoxId | undefined): void {
-  row.ownerId = steward;
+/** Sets the owner and resets the loads that were reported by or measured for the previous one. */
+function changeOwner(world: World, row: EndpointRow, ownerId: BoxId | undefined): void {
+  row.ownerId = ownerId;
   row.ownerReportedLoad = 0;
   row.placedSinceReport = 0;
-  if (steward === world.self.boxId) row.peakInFlight = row.inFlight;
+  if (ownerId === world.self.boxId) row.peakInFlight = row.inFlight;
 }
 
 function indexByService(world: World): Map<ServiceName, EndpointRow[]> {
@@ -93,8 +95,8 @@
   return index;
 }
 
-/** Endpoints that the list says are live; boxes with one list agree on these, whatever else they know. */
-function listLiveIds(world: World): Map<ServiceName, EndpointId[]> {
+/** Indexes endpoints that the list marks as live. Depends on the list alone, so that boxes with the same list agree. */
+function indexLiveIds(world: World): Map<ServiceName, EndpointId[]> {
   const ids = new Map<ServiceName, EndpointId[]>();
   for (const [service, rows] of world.endpointsByService) {
     const live = rows.filter((row) => row.record.state === 'live');
@@ -106,39 +108,39 @@
   return ids;
 }
 
-function forgetUnlisted(world: World): void {
+function evictUnlisted(world: World): void {
   for (const row of world.endpoints.values()) {
-    const idle = row.inFlight === 0 && row.waiting === 0;
-    const longGone = world.nowMs - row.absentSinceMs > world.settings.flapMemoryMs;
-    if (!row.listed && idle && longGone) world.endpoints.delete(row.id);
+    const isIdle = row.inFlight === 0 && row.waiting === 0;
+    const isLongGone = world.nowMs - row.absentSinceMs > world.settings.flapMemoryMs;
+    if (!row.listed && isIdle && isLongGone) world.endpoints.delete(row.id);
   }
 }
 
-/** Recomputes stewards and the index by service after a change of boxes or endpoints. */
+/** Recomputes owners and the indexes by service after a change of live boxes or endpoints. */
 export function runEndpointOwnership(world: World): void {
   if (!world.topologyChanged) return;
   world.topologyChanged = false;
-  forgetUnlisted(world);
+  evictUnlisted(world);
   for (const row of world.endpoints.values()) {
-    const steward = row.listed ? pickSteward(world, row) : undefined;
-    if (steward !== row.ownerId) changeSteward(world, row, steward);
+    const ownerId = row.listed ? pickOwner(world, row) : undefined;
+    if (ownerId !== row.ownerId) changeOwner(world, row, ownerId);
   }
   world.endpointsByService = indexByService(world);
-  world.liveEndpointIds = listLiveIds(world);
+  world.liveEndpointIds = indexLiveIds(world);
   world.directoryHandoverPending = true;
-  const own = listOwnedEndpoints(world);
+  const owned = listOwnedEndpoints(world);
   emit(world, {
     type: 'watchEndpoints',
-    endpoints: own.map((row) => ({ id: row.id, address: row.record.address })),
+    endpoints: owned.map((row) => ({ id: row.id, address: row.record.address })),
   });
 }
 
-/** Lists the endpoints this box speaks to. */
+/** Lists the endpoints that this box owns. */
 export function listOwnedEndpoints(world: World): EndpointRow[] {
   return [...world.endpoints.values()].filter((row) => row.ownerId === world.self.boxId && row.listed);
 }
 
-/** The loads this box vouches for, as it tells its peers. */
+/** Lists the loads of the endpoints that this box owns, as reported to its peers. */
 export function listOwnedLoads(world: World): LoadEntry[] {
   if (world.settings.policy.type !== 'steward') return [];
   return listOwnedEndpoints(world).map((row) => {
@@ -147,30 +149,33 @@
   });
 }
 
-function noteLoad(row: EndpointRow, load: number): void {
+function applyLoad(row: EndpointRow, load: number): void {
   row.ownerReportedLoad = load;
   row.placedSinceReport = 0;
 }
 
-/** Takes over the loads a steward vouches for. A box that this box does not hold for the steward is not believed. */
+/**
+ * Applies the loads in a peer's report. Entries for endpoints that the peer does not own in this box's view are
+ * ignored.
+ */
 export function applyReportedLoads(world: World, from: BoxId, loads: readonly LoadEntry[]): void {
   for (const [endpointId, load] of loads) {
     const row = world.endpoints.get(endpointId);
     if (row === undefined || row.ownerId !== from) continue;
-    noteLoad(row, load);
+    applyLoad(row, load);
   }
 }
 
-/** Takes over loads that travelled with an assignment; they are fresher than any heartbeat. */
+/** Applies loads that were sent along with an assignment; they are newer than those of the last heartbeat. */
 export function applyObservedLoads(world: World, loads: readonly LoadEntry[]): void {
   for (const [endpointId, load] of loads) {
     const row = world.endpoints.get(endpointId);
     if (row === undefined || row.ownerId === world.self.boxId) continue;
-    noteLoad(row, load);
+    applyLoad(row, load);
   }
 }
 
-/** Takes over an endpoint's own report: what it runs beyond this box's calls, and whether it is leaving. */
+/** Applies an endpoint's own report: its load beyond this box's calls, and whether it is leaving. */
 export function handleEndpointReport(
   world: World,
   report: { readonly endpointId: string; readonly inFlight: number; readonly leaving: boolean },
@@ -180,7 +185,7 @@
   row.reportedLeaving = report.leaving;
   row.reportedInFlight = report.inFlight;
   row.inFlightAtReport = row.inFlight;
-  // The report is late: what it shows beyond the most this box had there lately must be another's.
+  // The report is stale: only load above this box's recent maximum there is certain to come from others.
   row.foreignLoad = Math.max(0, report.inFlight - row.peakInFlight);
   row.peakInFlight = row.inFlight;
 }
--- a/packages/core/src/systems/entry.ts
+++ b/packages/core/src/systems/entry.ts
@@ -1,5 +1,5 @@
 /**
- * Entry: a caller's request from its arrival at this box to its answer or refusal.
+ * Entry: the life cycle of a caller's request at its entry box, from its arrival to its response or refusal.
  */
 import type {
   AcceptedFrame,
@@ -26,15 +26,15 @@
 import { replenishRetryBudget, scheduleRetry } from './retry.js';
 import { applyReportedLoads } from './endpointOwnership.js';
 
-/** What the owner of a key says is final: asking again changes nothing. */
-const KEY_VERDICTS: ReadonlySet<ResultCode> = new Set([
+/** Refusals by the owner of a key that are final: a retry would get the same one. */
+const FINAL_KEY_CODES: ReadonlySet<ResultCode> = new Set([
   'keyUnknown',
   'keyUnsure',
   'keyAnswerGone',
   'answerTooLarge',
 ]);
 
-/** Ends a request with its final refusal. */
+/** Ends a request with a final refusal. */
 export function refuseRequest(
   world: World,
   requestId: string,
@@ -49,7 +49,7 @@
   emit(world, { type: 'refuseCaller', requestId, refusal: { code, ran, retryAfterMs } });
 }
 
-function findRefusal(world: World, head: RequestHead): ResultCode | undefined {
+function findRefusalCode(world: World, head: RequestHead): ResultCode | undefined {
   if (world.stop.type !== 'running') return 'stopping';
   if (!isReady(world) || world.declared === undefined) return 'notReady';
   if (!world.declared.teams.has(head.team)) return 'unknownTeam';
@@ -57,9 +57,9 @@
   return head.kind === 'model' ? 'unknownModel' : 'unknownService';
 }
 
-/** Takes a caller's request, or refuses it at once. */
+/** Accepts a caller's request, or refuses it immediately. */
 export function handleCallerRequest(world: World, requestId: string, head: RequestHead): void {
-  const code = findRefusal(world, head);
+  const code = findRefusalCode(world, head);
   const service = world.declared?.services.get(head.service);
   if (code !== undefined || service === undefined) {
     return refuseRequest(world, requestId, code ?? 'unknownService', 'no', spreadRetryAfter(world, 0));
@@ -67,7 +67,7 @@
   startRequest(world, requestId, head, service, false);
 }
 
-/** As the owner of a key, carries the call itself. */
+/** Starts the request with which this box, as the owner of a key, runs the call. */
 export function startKeyOwnerRequest(world: World, requestId: string, head: RequestHead): void {
   const service = world.declared?.services.get(head.service);
   if (service === undefined) return;
@@ -79,7 +79,7 @@
   requestId: string,
   head: RequestHead,
   service: ServiceDeclaration,
-  isOwned: boolean,
+  isKeyOwner: boolean,
 ): void {
   const row: RequestRow = {
     id: requestId,
@@ -94,56 +94,57 @@
     targetBox: undefined,
     endpointId: undefined,
     responseStarted: false,
-    isKeyOwner: isOwned,
+    isKeyOwner,
     bodyTaken: false,
   };
   world.requests.set(requestId, row);
   placeRequest(world, row);
 }
 
-/** Starts an attempt: the chat's home box decides on the first, this box itself on later ones. */
+/** Starts an attempt. The chat's home box chooses the engines of the first attempt, this box those of later ones. */
 export function placeRequest(world: World, row: RequestRow): void {
   row.phase = 'placing';
   row.placedMs = world.nowMs;
   row.endpointId = undefined;
   const ref = { requestId: row.id, attempt: row.attempt };
   const head = { ...row.head, remainingMs: row.deadlineMs - world.nowMs };
-  if (isJudgedByOwner(row)) return askJudge(world, row, head);
+  if (isDecidedByKeyOwner(row)) return sendToDecidingBox(world, row, head);
   const home = usesDirectory(world, row.service) ? findHomeBox(world, head.service, head.chat) : undefined;
   const isRemote = home !== undefined && home !== world.self.boxId && row.attempt === 1;
-  if (!isRemote) return decide(world, ref, world.self.boxId, home ?? '', head, row);
+  if (!isRemote) return assignRequest(world, ref, world.self.boxId, home ?? '', head, row);
   row.targetBox = home;
   emit(world, { type: 'send', to: home, frame: { type: 'place', ...ref, entry: world.self.boxId, head } });
 }
 
-/** Whether a key's owner decides if the call may run. */
-function isJudgedByOwner(row: RequestRow): boolean {
+/** Whether the owner of the request's key decides if the call may run. */
+function isDecidedByKeyOwner(row: RequestRow): boolean {
   const isNever = row.service.kind === 'plain' && row.service.repeat === 'never';
   return isNever && row.head.key !== undefined && !row.isKeyOwner;
 }
 
-function askJudge(world: World, row: RequestRow, head: RequestHead): void {
+function sendToDecidingBox(world: World, row: RequestRow, head: RequestHead): void {
   const key = head.key ?? '';
   const retryAfterMs = spreadRetryAfter(world, 0);
   if (parseIdempotencyKey(key) === undefined)
     return refuseRequest(world, row.id, 'keyMalformed', 'no', retryAfterMs);
-  const judge = findDecidingBox(world, key);
-  const isTicketOfStranger = judge !== undefined && judge !== world.self.boxId && !world.boxes.has(judge);
-  if (judge === undefined) {
+  const decidingBox = findDecidingBox(world, key);
+  const isTicketOfUnknownBox =
+    decidingBox !== undefined && decidingBox !== world.self.boxId && !world.boxes.has(decidingBox);
+  if (decidingBox === undefined) {
     reportUncertainty(world, key, { type: 'otherOwner', owner: undefined });
     return refuseRequest(world, row.id, 'keyUnsure', 'unknown', retryAfterMs);
   }
-  if (isTicketOfStranger) return refuseRequest(world, row.id, 'keyUnknown', 'unknown', retryAfterMs);
-  row.targetBox = judge;
+  if (isTicketOfUnknownBox) return refuseRequest(world, row.id, 'keyUnknown', 'unknown', retryAfterMs);
+  row.targetBox = decidingBox;
   const entry = world.self.boxId;
-  sendToBox(world, judge, { type: 'keyed', requestId: row.id, attempt: row.attempt, entry, head });
+  sendToBox(world, decidingBox, { type: 'keyed', requestId: row.id, attempt: row.attempt, entry, head });
 }
 
 function usesDirectory(world: World, service: ServiceDeclaration): boolean {
   return service.kind === 'model' && world.settings.policy.type === 'steward';
 }
 
-function decide(
+function assignRequest(
   world: World,
   ref: AttemptRef,
   entry: BoxId,
@@ -153,36 +154,39 @@
 ): void {
   const assign = buildAssignment(world, ref, entry, home, head, row.service);
   const [first] = assign.candidates;
-  if (home === world.self.boxId) learnFirstChoice(world, assign);
+  if (home === world.self.boxId) recordFirstChoice(world, assign);
   row.targetBox = first === undefined ? undefined : world.endpoints.get(first)?.ownerId;
   routeAssignment(world, assign);
 }
 
-/** The home box takes its first choice for granted; a steward that passes the chat on says so with `placed`. */
-function learnFirstChoice(world: World, assign: AssignFrame): void {
+/**
+ * The home box records its first choice in advance; if another engine accepts the chat, that engine's owner reports it
+ * with a `placed` frame.
+ */
+function recordFirstChoice(world: World, assign: AssignFrame): void {
   const [first] = assign.candidates;
   const { service, chat } = assign.head;
   if (first !== undefined) world.directory.recordEngine(directoryKey(service, chat), first);
 }
 
-/** As a chat's home box, chooses the engines to ask for another box's request. */
+/** As a chat's home box, chooses the candidate engines for another box's request. */
 export function handlePlace(world: World, frame: PlaceFrame): void {
   const service = world.declared?.services.get(frame.head.service);
   const home = world.self.boxId;
-  // The entry box knows the service from a newer file; this box will have it within seconds.
+  // The entry box has a newer declared file with the service; this box will receive it within seconds.
   if (service === undefined) return refuseAttempt(world, frame, 'noEndpoint', 'no');
   const assign = buildAssignment(world, frame, frame.entry, home, frame.head, service);
-  learnFirstChoice(world, assign);
+  recordFirstChoice(world, assign);
   routeAssignment(world, assign);
 }
 
-/** Finds the live request of a frame; anything else came late and is dropped. */
+/** Finds the request whose current attempt a frame belongs to; frames of earlier attempts are late and dropped. */
 function findAttempt(world: World, ref: AttemptRef): RequestRow | undefined {
   const row = world.requests.get(ref.requestId);
   return row?.attempt === ref.attempt && row.phase !== 'backingOff' ? row : undefined;
 }
 
-/** A steward took the request. One that nobody waits for any more is cancelled. */
+/** Handles the acceptance by an endpoint's owner. An attempt that is no longer current is cancelled. */
 export function handleAccepted(world: World, from: BoxId, frame: AcceptedFrame): void {
   const row = findAttempt(world, frame);
   const { requestId, attempt } = frame;
@@ -197,7 +201,7 @@
   emit(world, { type: 'bindRequest', requestId, attempt, ownerId: from, endpointId: frame.endpoint });
 }
 
-/** An attempt ended. What cannot have run is refused as it is; the rest may be tried again. */
+/** Handles the refusal of an attempt: retries the request where that is allowed, otherwise refuses it. */
 export function handleRefused(world: World, frame: RefusedFrame): void {
   const row = findAttempt(world, frame);
   if (row === undefined) return count(world, 'frame.foreign');
@@ -206,14 +210,14 @@
   refuseRequest(world, row.id, frame.code, frame.ran, frame.retryAfterMs);
 }
 
-/** Loads change within milliseconds: a request over the bound is worth one more try, later than that it is refused. */
+/** Loads change within milliseconds, so that a request refused as over the bound is retried, but only once. */
 function findRetryReason(row: RequestRow, frame: RefusedFrame): RetryReason | undefined {
-  if (KEY_VERDICTS.has(frame.code)) return undefined;
+  if (FINAL_KEY_CODES.has(frame.code)) return undefined;
   if (frame.ran === 'unknown') return 'endpointBroke';
   return frame.code === 'overBound' && row.attempt === 1 ? 'overBound' : undefined;
 }
 
-/** The caller went away: whoever has the request stops. */
+/** Handles a caller's disconnection: cancels the request. */
 export function handleCallerGone(world: World, requestId: string): void {
   const row = world.requests.get(requestId);
   if (row === undefined) return;
@@ -222,19 +226,19 @@
   cancelAttempt(world, row);
 }
 
-/** Tells the box that has the attempt to stop it. One still on its way is cancelled when it is accepted. */
+/** Cancels the attempt at the box that accepted it. An attempt not yet accepted is cancelled on its acceptance. */
 export function cancelAttempt(world: World, row: RequestRow): void {
   if (row.phase !== 'accepted' || row.targetBox === undefined) return;
   sendToBox(world, row.targetBox, { type: 'cancel', requestId: row.id, attempt: row.attempt });
 }
 
-/** Part of the answer reached the caller. */
+/** Records that part of the response was sent to the caller. */
 export function handleAnswerStarted(world: World, ref: AttemptRef): void {
   const row = findAttempt(world, ref);
   if (row !== undefined) row.responseStarted = true;
 }
 
-/** The caller has the whole answer. */
+/** Completes a request whose caller has received the whole response. */
 export function handleAnswerEnded(world: World, ref: AttemptRef): void {
   const row = findAttempt(world, ref);
   if (row === undefined) return;
@@ -243,7 +247,10 @@
   replenishRetryBudget(world, row.service.name);
 }
 
-/** The answer was not what it announced: the caller must not take it for whole, and the rest of it is stopped. */
+/**
+ * Handles a response that does not match its announced length: the caller must not take it for complete, and the call
+ * is cancelled.
+ */
 export function handleAnswerBroken(world: World, requestId: string, code: ResultCode): void {
   const row = world.requests.get(requestId);
   if (row === undefined) return;
@@ -251,13 +258,13 @@
   refuseRequest(world, requestId, code, 'unknown', spreadRetryAfter(world, 0));
 }
 
-/** The caller's streamed body has begun to be read. */
+/** Records that reading the caller's streamed body has started. */
 export function handleBodyTaken(world: World, requestId: string): void {
   const row = world.requests.get(requestId);
   if (row !== undefined) row.bodyTaken = true;
 }
 
-/** Whether an attempt that was lost now may have run: it has left this box. */
+/** Whether an attempt may have run if it is lost now: it was accepted, or sent to another box. */
 function mayHaveRun(world: World, row: RequestRow): boolean {
   return row.targetBox !== undefined && (row.phase === 'accepted' || row.targetBox !== world.self.boxId);
 }
@@ -274,18 +281,18 @@
   }
   const isLost = row.targetBox !== undefined && !isReachable(world, row.targetBox);
   const isSlow = row.phase === 'placing' && world.nowMs - row.placedMs > world.settings.placeTimeoutMs;
-  if (isLost) return loseAttempt(world, row);
+  if (isLost) return handleLostAttempt(world, row);
   if (isSlow) scheduleRetry(world, row, 'placeLost', 'unknown');
 }
 
-/** The box that had the attempt is gone: try again if that is harmless, otherwise say what is known. */
-function loseAttempt(world: World, row: RequestRow): void {
+/** Handles the loss of the box that had the attempt: retries the request if allowed, otherwise refuses it. */
+function handleLostAttempt(world: World, row: RequestRow): void {
   const reason = row.phase === 'accepted' ? 'stewardLost' : 'placeLost';
   if (scheduleRetry(world, row, reason, 'unknown')) return;
   refuseRequest(world, row.id, reason, 'unknown', spreadRetryAfter(world, 0));
 }
 
-/** Looks after requests whose deadline passed, whose box was lost, or whose back-off is over. */
+/** Handles requests whose deadline has passed, whose box was lost, or whose backoff has elapsed. */
 export function sweepRequests(world: World): void {
   for (const row of world.requests.values()) sweepRequest(world, row);
 }
--- a/packages/core/src/systems/fairness.ts
+++ b/packages/core/src/systems/fairness.ts
@@ -1,18 +1,19 @@
 /**
- * Fairness: which waiting call an endpoint starts next, and how much of it one team may hold.
+ * Fairness: which queued call an endpoint starts next, and how much of its capacity one team may use.
  *
- * The team that holds least for its weight goes first. A part of every endpoint is kept for teams below their fair
- * share, so that a surging team cannot make a quiet one wait for a whole answer to end.
+ * The team with the fewest running calls for its weight goes first (weighted fair queueing). A part of every endpoint's
+ * capacity is reserved for teams below their fair share, so that a surging team cannot make a quiet one wait until a
+ * whole response has ended.
  */
 import type { ServiceDeclaration, TeamDeclaration, TeamName } from '../records.js';
 import type { CallRow } from '../tables/calls.js';
 import type { EndpointRow } from '../tables/endpoints.js';
 import type { World } from '../world.js';
 
-/** A team's limit is split over the endpoints of a service; chance makes some get more than their part. */
+/** A team's limit is divided among the endpoints of a service; the slack allows for their random imbalance. */
 const TEAM_LIMIT_SLACK = 1.25;
-/** Fair shares leave room for one more team, which may come at any moment. */
-const WEIGHT_OF_THE_NEXT_TEAM = 1;
+/** Weight of a team that is not active yet but may become so at any time; fair shares leave capacity for it. */
+const NEXT_TEAM_WEIGHT = 1;
 
 function findTeam(world: World, name: TeamName): TeamDeclaration {
   return world.declared?.teams.get(name) ?? { name, weight: 1 };
@@ -24,12 +25,12 @@
 
 function sumActiveWeights(world: World, row: EndpointRow, team: TeamName): number {
   const active = new Set([team, ...row.runningByTeam.keys(), ...row.waitingByTeam.keys()]);
-  let sum = WEIGHT_OF_THE_NEXT_TEAM;
+  let sum = NEXT_TEAM_WEIGHT;
   for (const name of active) sum += findTeam(world, name).weight;
   return sum;
 }
 
-/** Whether the team holds less of the endpoint than its weight entitles it to. */
+/** Whether the team uses less of the endpoint's capacity than its fair share by weight. */
 function isBelowFairShare(
   world: World,
   row: EndpointRow,
@@ -41,7 +42,7 @@
 }
 
 /**
- * Tells whether an endpoint can start one more call of a team now.
+ * Whether an endpoint can start one more call of a team now.
  *
  * @example canStart(world, row, service, 'hotel-chain')
  */
@@ -53,11 +54,11 @@
 ): boolean {
   const running = row.inFlight + row.foreignLoad;
   if (running >= service.maxInFlightPerEndpoint) return false;
-  const open = Math.floor(service.maxInFlightPerEndpoint * (1 - world.settings.reserveShare));
-  return running < open || isBelowFairShare(world, row, service, team);
+  const unreserved = Math.floor(service.maxInFlightPerEndpoint * (1 - world.settings.reserveShare));
+  return running < unreserved || isBelowFairShare(world, row, service, team);
 }
 
-/** Tells whether the team holds its part of its region-wide limit at this endpoint. */
+/** Whether the team has reached this endpoint's part of its region-wide limit. */
 export function isAtTeamLimit(
   world: World,
   row: EndpointRow,
@@ -72,7 +73,7 @@
   return held >= part;
 }
 
-/** Puts a call among its team's waiting ones: by priority, then by deadline. */
+/** Inserts a call into its team's queue: by priority, then by deadline. */
 export function enqueueCall(row: EndpointRow, call: CallRow): void {
   const { team, priority } = call.assign.head;
   const queue = row.waitingByTeam.get(team) ?? [];
@@ -85,7 +86,7 @@
   row.waiting += 1;
 }
 
-/** Takes a call out of its team's waiting ones. */
+/** Removes a call from its team's queue. */
 export function dequeueCall(row: EndpointRow, call: CallRow): void {
   const { team } = call.assign.head;
   const queue = row.waitingByTeam.get(team);
@@ -96,7 +97,7 @@
   if (queue.length === 0) row.waitingByTeam.delete(team);
 }
 
-/** Picks the waiting call to start next, or none if nothing may start now. */
+/** Picks the queued call to start next; undefined if none may start now. */
 export function pickNextCall(world: World, row: EndpointRow): CallRow | undefined {
   let best: CallRow | undefined;
   let bestHeld = Infinity;
@@ -111,7 +112,7 @@
   return best;
 }
 
-/** Adjusts the count of a team's running calls. */
+/** Adjusts the number of a team's running calls at an endpoint. */
 export function addRunning(row: EndpointRow, team: TeamName, delta: number): void {
   const running = readRunning(row, team) + delta;
   if (running <= 0) row.runningByTeam.delete(team);
--- a/packages/core/src/systems/heartbeats.ts
+++ b/packages/core/src/systems/heartbeats.ts
@@ -1,5 +1,6 @@
 /**
- * Reports: the heartbeat that carries proof of life, loads and versions to every peer, and hand-over at its pace.
+ * Heartbeats: the liveness signal with loads and versions for every peer, and the handover of directory entries, which
+ * is rate-limited by the heartbeats.
  */
 import type { HeartbeatFrame } from '../frames.js';
 import { VALUE_NAMES } from '../records.js';
@@ -8,7 +9,7 @@
 import { handOverEntries } from './chatDirectory.js';
 import { listOwnedLoads } from './endpointOwnership.js';
 
-/** Builds the heartbeat of this moment. */
+/** Builds a heartbeat from the current state. */
 export function buildHeartbeat(world: World): HeartbeatFrame {
   return {
     type: 'heartbeat',
@@ -20,13 +21,13 @@
   };
 }
 
-/** Sends a heartbeat to every known peer, listed here yet or not. */
+/** Sends a heartbeat to every known peer, including those that this box's list does not contain yet. */
 export function broadcastHeartbeat(world: World): void {
   const peers = [...world.boxes.keys()].filter((id) => id !== world.self.boxId);
   if (peers.length > 0) emit(world, { type: 'broadcast', to: peers, frame: buildHeartbeat(world) });
 }
 
-/** Sends a heartbeat when one is due, and entries to their new homes. */
+/** Sends a heartbeat when one is due, and with it a batch of directory entries to their new home boxes. */
 export function runHeartbeats(world: World): void {
   if (world.nowMs < world.nextHeartbeatMs) return;
   world.nextHeartbeatMs = world.nowMs + world.settings.heartbeatMs;
--- a/packages/core/src/systems/keyUncertainty.ts
+++ b/packages/core/src/systems/keyUncertainty.ts
@@ -1,33 +1,33 @@
 /**
- * Doubt: why this box would not say of a timed key whether its call may run. Counted by reason, and told in the log with
- * the state behind it.
+ * Key uncertainty: why this box cannot decide whether the call of a timed key may run. Counted by reason, and logged
+ * with the state that caused it.
  */
 import type { BoxId, ValueName } from '../records.js';
 import { isNewer } from '../tables/values.js';
 import type { World } from '../world.js';
 import { count, emit } from '../world.js';
 
-/** The published values by which keys have owners. */
+/** The published values that determine the owners of keys. */
 export const KEY_OWNERSHIP_VALUES = ['declared', 'boxes'] as const satisfies readonly ValueName[];
 
-/** While doubt lasts, one line for each of these spans is enough: the counter has them all. */
+/** Shortest interval between log lines; the counter includes every occurrence. */
 const LOG_INTERVAL_MS = 1_000;
 
-/** The state that keeps a box from judging a key. */
+/** The state that prevents a box from deciding on a key. The type is part of a counter's name. */
 export type KeyUncertainty =
-  /** The key's time lies ahead by more than callers' clocks may err, yet boxes' clocks could explain it. */
+  /** The key's time is ahead by more than the error of callers' clocks, but errors of boxes' clocks can explain it. */
   | { readonly type: 'keyAhead'; readonly aheadMs: number }
   /** This box has handed its keys over. */
   | { readonly type: 'ceded' }
-  /** Another box owns the key by the lists of this one. */
+  /** Another box owns the key according to this box's lists. */
   | { readonly type: 'otherOwner'; readonly owner: BoxId | undefined }
-  /** A peer is known to hold a newer version of a list. */
+  /** A peer has announced a newer version of a list. */
   | { readonly type: 'listBehind'; readonly name: ValueName; readonly newestVersion: number }
-  /** The platform has not confirmed a list for longer than a lease. */
+  /** The platform last confirmed a list longer ago than the lease of keys. */
   | { readonly type: 'listUnconfirmed'; readonly name: ValueName; readonly ageMs: number };
 
 /**
- * Why this box cannot act on its lists: none of them may be older than the newest known or unconfirmed for a lease.
+ * Returns why this box cannot rely on its lists: one is older than a peer's, or unconfirmed for longer than a lease.
  *
  * @example findListDoubt(world) // { type: 'listUnconfirmed', name: 'boxes', ageMs: 8_120 }
  */
@@ -42,25 +42,29 @@
   return undefined;
 }
 
-function describeDoubt(doubt: KeyUncertainty): string {
-  switch (doubt.type) {
+function describeUncertainty(uncertainty: KeyUncertainty): string {
+  switch (uncertainty.type) {
     case 'keyAhead':
-      return `its time lies ${doubt.aheadMs} ms ahead`;
+      return `its time is ${uncertainty.aheadMs} ms ahead`;
     case 'ceded':
       return 'this box has handed its keys over';
     case 'otherOwner':
-      return `its owner is ${doubt.owner ?? 'no box'}`;
+      return `its owner is ${uncertainty.owner ?? 'no box'}`;
     case 'listBehind':
-      return `a peer holds version ${doubt.newestVersion} of ${doubt.name}`;
+      return `a peer has version ${uncertainty.newestVersion} of ${uncertainty.name}`;
     case 'listUnconfirmed':
-      return `${doubt.name} was confirmed ${doubt.ageMs} ms ago`;
+      return `${uncertainty.name} was confirmed ${uncertainty.ageMs} ms ago`;
   }
 }
 
-/** Counts a doubt, and logs it if none was logged lately. */
-export function reportUncertainty(world: World, key: string, doubt: KeyUncertainty): void {
-  count(world, `keyDoubt.${doubt.type}`);
+/** Counts an uncertainty, and logs it unless one was logged recently. */
+export function reportUncertainty(world: World, key: string, uncertainty: KeyUncertainty): void {
+  count(world, `keyDoubt.${uncertainty.type}`);
   if (world.nowMs - world.uncertaintyLoggedAtMs < LOG_INTERVAL_MS) return;
   world.uncertaintyLoggedAtMs = world.nowMs;
-  emit(world, { type: 'log', level: 'warn', message: `key ${key} is in doubt: ${describeDoubt(doubt)}` });
+  emit(world, {
+    type: 'log',
+    level: 'warn',
+    message: `cannot decide on key ${key}: ${describeUncertainty(uncertainty)}`,
+  });
 }
--- a/packages/core/src/systems/load.ts
+++ b/packages/core/src/systems/load.ts
@@ -1,5 +1,5 @@
 /**
- * Load: what an endpoint carries, the mean over its service, and how much one endpoint may carry.
+ * Load: the load of an endpoint, sums over a service, and the largest load that one endpoint may have.
  */
 import type { ModelDeclaration, ServiceDeclaration } from '../records.js';
 import type { EndpointRow } from '../tables/endpoints.js';
@@ -7,8 +7,8 @@
 import { isUsable } from './endpointOwnership.js';
 
 /**
- * Requests at an endpoint as far as this box knows: exact where it is the steward, otherwise the steward's last word
- * and what this box sent since.
+ * Returns the load of an endpoint: exact if this box owns it, otherwise the load that its owner last reported plus the
+ * requests that this box has assigned to it since.
  */
 export function readLoad(world: World, row: EndpointRow): number {
   if (world.settings.policy.type !== 'steward') {
@@ -18,7 +18,7 @@
   return Math.max(0, row.ownerReportedLoad) + row.placedSinceReport;
 }
 
-/** An endpoint's share relative to one in full service; less than 1 while it ramps up. */
+/** Returns an endpoint's share relative to one with a full share; less than 1 during its slow start. */
 export function readRampShare(world: World, row: EndpointRow): number {
   const { rampMs, rampFloor } = world.settings;
   const ageMs = world.nowMs - row.rampFromMs;
@@ -32,7 +32,7 @@
   return rows.filter((row) => isUsable(world, row));
 }
 
-/** Sums over some endpoints. */
+/** Sums over a set of endpoints. */
 export interface LoadSummary {
   readonly load: number;
   readonly count: number;
@@ -40,7 +40,7 @@
   readonly shares: number;
 }
 
-/** Sums load and shares over some endpoints. */
+/** Sums load and ramp shares over a set of endpoints. */
 export function summariseLoad(world: World, rows: readonly EndpointRow[]): LoadSummary {
   let load = 0;
   let shares = 0;
@@ -52,8 +52,8 @@
 }
 
 /**
- * An endpoint's share once all shares are raised, where ramping endpoints would otherwise leave too little room: the
- * caps of all together must exceed the load by half of the bound's slack.
+ * Raises an endpoint's share where endpoints in slow start would otherwise leave too little total capacity: the sum of
+ * all caps must exceed the load by half of the bound's slack.
  */
 function raiseShare(share: number, bound: number, summary: LoadSummary): number {
   const { count, shares } = summary;
@@ -64,9 +64,10 @@
 }
 
 /**
- * Most requests an engine may carry once one more is taken: its share of the mean times the bound, but never less than
- * its share of the mean rounded up, so that some engine always has room. The mean counts a ramping engine in full, as
- * an observer would. A stale summary narrows the mean to what this box knows; it never lifts the limit.
+ * Computes the largest load of an engine after accepting one more request: its share of the mean times the bound, but
+ * at least its share of the mean rounded up, so that some engine always has capacity. The mean counts an engine in slow
+ * start in full, as an outside observer would. A stale summary restricts the mean to what this box knows; it never
+ * removes the limit.
  *
  * @example computeBoundCap(world, model, row, { load: 23, count: 12, shares: 12 }) // ceil(24 / 12) = 2
  */
--- a/packages/core/src/systems/membership.ts
+++ b/packages/core/src/systems/membership.ts
@@ -1,8 +1,8 @@
 /**
- * Membership: which boxes are live, from the published list, links and heartbeats.
+ * Membership: which boxes are live, determined from the published list, links and heartbeats.
  *
- * The list says who may be live; a box of the list is taken for live while it is heard. A broken link ends that
- * at once, silence after one lease.
+ * Only listed boxes can be live. A listed box is live until its link breaks, or until it has sent no liveness signal
+ * for longer than one lease.
  */
 import type { HeartbeatFrame } from '../frames.js';
 import type { BoxId, BoxList, BoxRecord, HallName } from '../records.js';
@@ -11,7 +11,7 @@
 import { emit } from '../world.js';
 import type { World } from '../world.js';
 
-/** Takes over a newly accepted box list. */
+/** Applies a newly accepted box list. */
 export function applyBoxList(world: World, list: BoxList): void {
   const listedIds = new Set(list.boxes.map((record) => record.id));
   for (const row of world.boxes.values()) row.listed = listedIds.has(row.id);
@@ -26,8 +26,8 @@
 }
 
 /**
- * A peer introduced itself. One that the list does not name yet is known but gets no work: lists may disagree, and its
- * requests are to be answered.
+ * Handles the hello of a peer. A peer that this box's list does not contain gets a row but no work: boxes may hold
+ * different lists, and the peer's requests must be answered.
  */
 export function handlePeerUp(world: World, record: BoxRecord, incarnation: string): void {
   const row = world.boxes.get(record.id) ?? { ...createBoxRow(record, world.nowMs), listed: false };
@@ -38,13 +38,13 @@
   row.lastSeenAtMs = world.nowMs;
 }
 
-/** A link to a peer broke: it is not live until heard again. */
+/** Handles a broken link to a peer, which is then not live until its next liveness signal. */
 export function handlePeerDown(world: World, boxId: BoxId): void {
   const row = world.boxes.get(boxId);
   if (row !== undefined) row.lastSeenAtMs = -Infinity;
 }
 
-/** Notes a peer's sign of life. */
+/** Applies a peer's heartbeat: its liveness, its platform connectivity and whether it is stopping. */
 export function handleHeartbeat(world: World, from: BoxId, frame: HeartbeatFrame): void {
   const row = world.boxes.get(from);
   if (row === undefined) return;
@@ -55,17 +55,17 @@
 }
 
 /**
- * Tells whether a box can be given work, in this box's view.
+ * Whether a box may get work, in this box's view.
  *
  * @example isLive(world, world.boxes.get('b2')!)
  */
 export function isLive(world: World, row: BoxRow): boolean {
   if (row.id === world.self.boxId) return world.stop.type === 'running';
-  const heard = world.nowMs - row.lastSeenAtMs <= world.settings.leaseMs;
-  return row.listed && row.record.state === 'live' && !row.stopping && heard;
+  const isWithinLease = world.nowMs - row.lastSeenAtMs <= world.settings.leaseMs;
+  return row.listed && row.record.state === 'live' && !row.stopping && isWithinLease;
 }
 
-/** Tells whether a box answers at all, stopping or not; its running calls go on while it does. */
+/** Whether a box is alive, even if it is stopping or unlisted; its running calls continue while it is. */
 export function isReachable(world: World, boxId: BoxId): boolean {
   if (boxId === world.self.boxId) return true;
   const row = world.boxes.get(boxId);
@@ -89,15 +89,15 @@
   return byHall;
 }
 
-/** Drops rows that nothing needs any more. */
-function forgetUnlisted(world: World): void {
+/** Removes the rows of boxes that are neither listed nor reachable. */
+function evictUnlisted(world: World): void {
   for (const row of world.boxes.values()) {
     if (!row.listed && !isReachable(world, row.id)) world.boxes.delete(row.id);
   }
 }
 
-/** Brings each row's flag up to date. Returns whether any changed: most turns change none, and cost no more. */
-function updateFlags(world: World): boolean {
+/** Updates each row's liveness. Returns whether any changed; most turns change none and then skip the recomputation. */
+function updateLiveFlags(world: World): boolean {
   let hasChanged = world.live.all.some((id) => !world.boxes.has(id));
   for (const row of world.boxes.values()) {
     const live = isLive(world, row);
@@ -107,13 +107,13 @@
   return hasChanged;
 }
 
-/** Recomputes the live set when it differs, and marks what derives from it. */
+/** Recomputes the live boxes if any has changed, and marks the state that is derived from them. */
 export function runMembership(world: World): void {
-  if (!updateFlags(world)) return;
+  if (!updateLiveFlags(world)) return;
   const all = listLive(world);
   world.live = { all, byHall: groupByHall(world, all) };
   world.topologyChanged = true;
   world.watchersChanged = true;
   world.directoryHandoverPending = true;
-  forgetUnlisted(world);
+  evictUnlisted(world);
 }
--- a/packages/core/src/systems/placement.ts
+++ b/packages/core/src/systems/placement.ts
@@ -1,5 +1,5 @@
 /**
- * Placement: the order in which endpoints are asked to take a request.
+ * Placement: the order in which endpoints are tried for a request.
  */
 import type { AssignFrame, AttemptRef, RequestHead } from '../frames.js';
 import { rankByRendezvous } from '../hasher.js';
@@ -10,7 +10,7 @@
 import { listUsable, readLoad, readRampShare } from './load.js';
 import { listOwnedLoads } from './endpointOwnership.js';
 
-/** Sorts by load for the share, so that a ramping engine does not look idle. */
+/** Sorts by load relative to the ramp share, so that an engine in slow start does not look idle. */
 function sortByLoad(world: World, rows: readonly EndpointRow[]): EndpointRow[] {
   const loads = new Map(rows.map((row) => [row, readLoad(world, row) / readRampShare(world, row)]));
   return [...rows].sort((a, b) => (loads.get(a) ?? 0) - (loads.get(b) ?? 0));
@@ -22,8 +22,11 @@
   return order.flatMap((id) => byId.get(id) ?? []);
 }
 
-/** Warm engines first, the least loaded of them foremost; then the chat's own first choices; then the rest by load. */
-function rankForSteward(
+/**
+ * Ranks warm engines first, by load; without any, the chat's two best engines by rendezvous hashing, by load. The
+ * remaining engines follow by load.
+ */
+function rankWarmFirst(
   world: World,
   model: string,
   chat: string,
@@ -61,7 +64,7 @@
   const { policy } = world.settings;
   switch (policy.type) {
     case 'steward':
-      return rankForSteward(world, model, chat, rows);
+      return rankWarmFirst(world, model, chat, rows);
     case 'local':
       return rankRowsByRendezvous(world, chat, rows);
     case 'leastLoaded':
@@ -71,7 +74,10 @@
   }
 }
 
-/** A plain service keeps nothing warm: the less loaded of two random endpoints, then the rest by load. */
+/**
+ * A plain service has no prefix cache: ranks two random endpoints first, the less loaded before the other, then the
+ * rest by load.
+ */
 function rankPlain(world: World, rows: readonly EndpointRow[]): EndpointRow[] {
   const two = sortByLoad(world, pickRandomRows(world, rows, 2));
   return [
@@ -83,7 +89,7 @@
   ];
 }
 
-/** Endpoints to be asked for a request, best first. */
+/** Ranks the candidate endpoints of a request, best first. */
 export function rankCandidates(world: World, service: ServiceDeclaration, chat: string): EndpointRow[] {
   const rows = listUsable(world, service);
   const ranked =
@@ -92,8 +98,8 @@
 }
 
 /**
- * Builds the assignment for a request. A later attempt starts further down the order, since what was asked first may
- * be what was lost.
+ * Builds the assignment for a request. A later attempt starts further down the ranking, since the first candidates of
+ * the earlier attempt may be the ones that were lost.
  */
 export function buildAssignment(
   world: World,
--- a/packages/core/src/systems/retry.ts
+++ b/packages/core/src/systems/retry.ts
@@ -1,5 +1,5 @@
 /**
- * Retry: when a request may be started again, and how many such retries a service may cost.
+ * Retry: whether a request may be started again, and the retry budget of each service.
  */
 import type { RetryReason } from '../effects.js';
 import type { RepeatRule, ServiceName } from '../records.js';
@@ -8,12 +8,12 @@
 import type { World } from '../world.js';
 import { count } from '../world.js';
 
-/** Methods that HTTP itself declares repeatable. */
+/** Methods that HTTP defines as safe. */
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 /**
- * Tells whether starting the request again can do no harm: nothing of it is used up, and it did not run or its service
- * allows it to run again.
+ * Whether a request can be started again without harm: its streamed body has not been read, no part of its response has
+ * been sent, and either it did not run or its service allows it to run again.
  *
  * @example isRepeatable(row, 'unknown')
  */
@@ -29,7 +29,7 @@
   }
 }
 
-/** A key makes a call repeatable where somebody judges it: the endpoint itself, or the key's owner. */
+/** A call with an idempotency key is repeatable if the endpoint or the key's owner prevents a second run. */
 function isPlainRepeatable(row: RequestRow, repeat: RepeatRule): boolean {
   const hasKey = row.head.key !== undefined;
   switch (repeat) {
@@ -46,13 +46,13 @@
   return world.retryBudgets.get(service) ?? world.settings.retryBurst;
 }
 
-/** A success earns its service a part of a retry. */
+/** Adds the share of a retry that a successful request earns to the budget of its service. */
 export function replenishRetryBudget(world: World, service: ServiceName): void {
   const earned = readBudget(world, service) + world.settings.retryRatio;
   world.retryBudgets.set(service, Math.min(world.settings.retryBurst, earned));
 }
 
-/** Backs off before the next attempt. Returns false if there may be none. */
+/** Schedules the next attempt after a backoff. Returns false if the request must not be retried. */
 export function scheduleRetry(world: World, row: RequestRow, reason: RetryReason, ran: Ran): boolean {
   if (!isRepeatable(row, ran) || row.attempt >= world.settings.maxAttempts) return false;
   const budget = readBudget(world, row.service.name);
