--- a/packages/core/src/__fixtures__/createTestWorld.ts
+++ b/packages/core/src/__fixtures__/createTestWorld.ts
@@ -1,9 +1,9 @@
-/** Worlds for tests: a few boxes and endpoints, fixed random numbers, time under the test's control. */
+/** Creates worlds for tests: a few boxes and endpoints, a fixed random number and time passed in by the test. */
 import type { CoreSettings, Declaration, EndpointRecord, World } from '../index.js';
 import { createHasher, createWorld, DEFAULT_CORE_SETTINGS, Ok, runTurn } from '../index.js';
 import type { BoxList, EndpointList } from '../index.js';
 
-/** What a test may change. */
+/** Overrides of the defaults. */
 export interface TestWorldOptions {
   readonly boxIds?: readonly string[];
   readonly endpoints?: readonly EndpointRecord[];
@@ -48,7 +48,7 @@
   ],
 };
 
-/** Records of some engines in one hall. */
+/** Creates records of engines in one hall. */
 export function createEngines(count: number, hall = 'mixco'): EndpointRecord[] {
   return Array.from({ length: count }, (_, index) => ({
     id: `engine-${index + 1}`,
@@ -59,7 +59,7 @@
   }));
 }
 
-/** Creates a ready world at time 0. Its published texts are JSON; any text of the right shape is accepted. */
+/** Creates a ready world at time 0. Its published texts are JSON and are not validated. */
 export async function createTestWorld(selfId: string, options: TestWorldOptions = {}): Promise<World> {
   const parsers = {
     declared: (text: string) => Ok(JSON.parse(text) as Declaration),
--- a/packages/core/src/__tests__/admission.test.ts
+++ b/packages/core/src/__tests__/admission.test.ts
@@ -18,7 +18,7 @@
   };
 }
 
-function ask(
+function sendRequest(
   world: World,
   requestId: string,
   overrides: Partial<RequestHead> = {},
@@ -37,66 +37,67 @@
 
 const booking = { kind: 'plain', service: 'booking' } as const;
 
-test('no engine is taken over its bound, whichever chat asks', async () => {
+test('no engine exceeds its load bound, whichever chat sends requests', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(4) });
   for (let index = 0; index < 200; index += 1) {
-    ask(world, `r${index}`, { chat: `chat-${index % 3}` });
+    sendRequest(world, `r${index}`, { chat: `chat-${index % 3}` });
     const loads = [...world.endpoints.values()].map((row) => readLoad(world, row));
     const mean = loads.reduce((sum, load) => sum + load, 0) / loads.length;
     expect(Math.max(...loads)).toBeLessThanOrEqual(Math.ceil(1.15 * mean));
   }
 });
 
-test('a returning chat goes back to its engine while that is within the bound', async () => {
+test('a returning chat is routed to its engine while that is within the bound', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(4) });
-  const first = ask(world, 'r1', { chat: 'mine' });
+  const first = sendRequest(world, 'r1', { chat: 'mine' });
   runTurn(
     world,
     [{ type: 'callEnded', requestId: 'r1', attempt: 1, outcome: { type: 'whole', status: 200 } }],
     5,
   );
-  const second = ask(world, 'r2', { chat: 'mine' });
-  const engineOf = (effects: readonly Effect[]): unknown =>
+  const second = sendRequest(world, 'r2', { chat: 'mine' });
+  const findDispatch = (effects: readonly Effect[]): unknown =>
     effects.find((effect) => effect.type === 'dispatch');
-  expect(engineOf(second)).toMatchObject({
-    endpointId: (engineOf(first) as { endpointId: string }).endpointId,
+  expect(findDispatch(second)).toMatchObject({
+    endpointId: (findDispatch(first) as { endpointId: string }).endpointId,
   });
 });
 
-test('a surging team leaves room: a quiet team starts at once on a full endpoint', async () => {
+test('a surging team cannot use reserved capacity: a quiet team starts immediately', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(1) });
   const surge = Array.from({ length: 12 }, (_, index) =>
-    ask(world, `s${index}`, { ...booking, team: 'surging' }),
+    sendRequest(world, `s${index}`, { ...booking, team: 'surging' }),
   );
   expect(surge.flatMap(listDispatched)).toHaveLength(9);
-  expect(listDispatched(ask(world, 'q1', { ...booking, team: 'quiet' }))).toEqual(['q1']);
+  expect(listDispatched(sendRequest(world, 'q1', { ...booking, team: 'quiet' }))).toEqual(['q1']);
 });
 
-test('when room is made, the team that holds least goes first, and in it the highest priority', async () => {
+test('freed capacity goes to the team with the fewest running calls, and within it to the highest priority', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(1) });
-  for (let index = 0; index < 11; index += 1) ask(world, `s${index}`, { ...booking, team: 'surging' });
-  ask(world, 'q0', { ...booking, team: 'quiet' });
-  ask(world, 'q-low', { ...booking, team: 'quiet' });
-  ask(world, 'q-high', { ...booking, team: 'quiet', priority: 5 });
+  for (let index = 0; index < 11; index += 1)
+    sendRequest(world, `s${index}`, { ...booking, team: 'surging' });
+  sendRequest(world, 'q0', { ...booking, team: 'quiet' });
+  sendRequest(world, 'q-low', { ...booking, team: 'quiet' });
+  sendRequest(world, 'q-high', { ...booking, team: 'quiet', priority: 5 });
   const outcome = { type: 'whole', status: 200 } as const;
   const effects = runTurn(world, [{ type: 'callEnded', requestId: 's0', attempt: 1, outcome }], 1);
   expect(listDispatched(effects)).toEqual(['q-high']);
 });
 
-test('a request whose wait would be too long is refused at once, with when to come back', async () => {
+test('a request whose wait would be too long is refused immediately, with Retry-After', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(1) });
   const effects = Array.from({ length: 30 }, (_, index) =>
-    ask(world, `s${index}`, { ...booking, team: 'surging' }),
+    sendRequest(world, `s${index}`, { ...booking, team: 'surging' }),
   );
   const refusal = effects.flat().find((effect) => effect.type === 'refuseCaller');
   expect(refusal).toMatchObject({ refusal: { code: 'overloaded', ran: 'no' } });
   expect(refusal?.type === 'refuseCaller' && refusal.refusal.retryAfterMs).toBeGreaterThanOrEqual(1_000);
 });
 
-test('a waiting request whose deadline comes is refused as not run', async () => {
+test('a queued request whose deadline is reached is refused as not run', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(1) });
-  for (let index = 0; index < 9; index += 1) ask(world, `s${index}`, { ...booking, team: 'surging' });
-  ask(world, 'late', { ...booking, team: 'surging', remainingMs: 400 });
+  for (let index = 0; index < 9; index += 1) sendRequest(world, `s${index}`, { ...booking, team: 'surging' });
+  sendRequest(world, 'late', { ...booking, team: 'surging', remainingMs: 400 });
   const effects = runTurn(world, [{ type: 'tick' }], 401);
   expect(effects).toContainEqual(
     expect.objectContaining({
@@ -114,13 +115,13 @@
   ];
   const world = await createTestWorld('box-1', { endpoints: createEngines(1), declaration: { teams } });
   const effects = Array.from({ length: 4 }, (_, index) =>
-    ask(world, `s${index}`, { ...booking, team: 'surging' }),
+    sendRequest(world, `s${index}`, { ...booking, team: 'surging' }),
   );
   expect(effects.flatMap(listRefused)).toEqual(['teamLimit']);
-  expect(listDispatched(ask(world, 'q', { ...booking }))).toEqual(['q']);
+  expect(listDispatched(sendRequest(world, 'q', { ...booking }))).toEqual(['q']);
 });
 
-test('a joining engine ramps up, and the rest stay within the bound of the mean that counts it in full', async () => {
+test('a joining engine starts slowly, and the others stay within the bound of a mean that counts it in full', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(4) });
   const endpoints = createEngines(5);
   runTurn(
@@ -138,7 +139,7 @@
   expect(caps.reduce((sum, cap) => sum + cap, 0)).toBeGreaterThan(500);
 });
 
-test('an engine that flaps must stay up before it gets work again', async () => {
+test('an engine that flaps must stay listed before it gets work again', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(2) });
   const publish = (version: number, count: number, nowMs: number): void => {
     const text = JSON.stringify({ version, endpoints: createEngines(count) });
@@ -153,10 +154,10 @@
   expect(listUsable(world, model)).toHaveLength(2);
 });
 
-test('an endpoint that is leaving gets no new work, by the list or by its own word', async () => {
+test('an endpoint that reports that it is leaving gets no new work', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(2) });
   runTurn(world, [{ type: 'endpointReport', endpointId: 'engine-1', inFlight: 0, leaving: true }], 10);
-  for (let index = 0; index < 8; index += 1) ask(world, `r${index}`, { ...booking });
+  for (let index = 0; index < 8; index += 1) sendRequest(world, `r${index}`, { ...booking });
   expect(world.endpoints.get('engine-1')?.inFlight).toBe(0);
   expect(world.endpoints.get('engine-2')?.inFlight).toBe(8);
 });
@@ -167,7 +168,7 @@
 ])('an endpoint that %s again and again is ejected, but not all of them', async (_name, outcome) => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(3) });
   for (let index = 0; index < 40; index += 1) {
-    ask(world, `r${index}`, { chat: `c${index}` });
+    sendRequest(world, `r${index}`, { chat: `c${index}` });
     runTurn(world, [{ type: 'callEnded', requestId: `r${index}`, attempt: 1, outcome }], 1 + index);
   }
   const ejected = [...world.endpoints.values()].filter((row) => row.ejectedUntilMs > world.nowMs);
@@ -176,7 +177,7 @@
 
 test('a call that was never sent goes to the next endpoint; one that may have been is not sent again', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(2) });
-  ask(world, 'r1', booking);
+  sendRequest(world, 'r1', booking);
   const again = runTurn(
     world,
     [{ type: 'callEnded', requestId: 'r1', attempt: 1, outcome: { type: 'notSent' } }],
@@ -196,7 +197,7 @@
   const outcome = { type: 'broken', code: 'endpointBroke' } as const;
   let retries = 0;
   for (let index = 0; index < 5; index += 1) {
-    ask(world, `r${index}`, {}, index * 10);
+    sendRequest(world, `r${index}`, {}, index * 10);
     const effects = runTurn(
       world,
       [{ type: 'callEnded', requestId: `r${index}`, attempt: 1, outcome }],
@@ -209,8 +210,8 @@
   expect(retries).toBe(2);
 });
 
-test("a request that names no deadline has its service's own", async () => {
+test("a request without a deadline has its service's default deadline", async () => {
   const world = await createTestWorld('box-1');
-  ask(world, 'r1', { ...booking, remainingMs: 0 });
+  sendRequest(world, 'r1', { ...booking, remainingMs: 0 });
   expect(world.requests.get('r1')?.deadlineMs).toBe(10_000);
 });
--- a/packages/core/src/__tests__/keys.test.ts
+++ b/packages/core/src/__tests__/keys.test.ts
@@ -30,7 +30,7 @@
 
 let nextRequest = 0;
 
-function ask(world: World, key: string, nowMs: number): Effect[] {
+function sendRequest(world: World, key: string, nowMs: number): Effect[] {
   nextRequest += 1;
   return runTurn(
     world,
@@ -53,9 +53,12 @@
   return refusal?.type === 'refuseCaller' ? `${refusal.refusal.code} ${refusal.refusal.ran}` : 'none';
 }
 
-/** Asks an owner whose lists are unconfirmed: it runs nothing, asks the platform, and refuses once that fails. */
-function askUnconfirmed(world: World, key: string, nowMs: number): Effect[] {
-  const held = ask(world, key, nowMs);
+/**
+ * Sends a key to an owner with unconfirmed lists: it runs nothing, calls the platform, and refuses once that call
+ * fails.
+ */
+function requestWhileUnconfirmed(world: World, key: string, nowMs: number): Effect[] {
+  const held = sendRequest(world, key, nowMs);
   expect([countRuns(held), readRefusal(held)]).toEqual([0, 'none']);
   expect(held).toContainEqual({ type: 'confirmValues', names: ['declared', 'boxes'] });
   return runTurn(
@@ -65,7 +68,7 @@
   );
 }
 
-test('keys are read, and anything else is malformed', () => {
+test('tickets and UUIDs of version 7 are parsed, other keys are malformed', () => {
   expect(parseIdempotencyKey(formatTicket('box-1', 'k1', 40))).toEqual({
     type: 'ticket',
     boxId: 'box-1',
@@ -82,50 +85,50 @@
 test('a ticket runs once, and never in another incarnation', async () => {
   const world = await createTestWorld('box-1');
   const ticket = formatTicket('box-1', 'k1', 1);
-  expect(countRuns(ask(world, ticket, 1))).toBe(1);
-  expect(countRuns(ask(world, ticket, 2))).toBe(0);
-  const reborn = await createTestWorld('box-1');
-  expect(readRefusal(ask(reborn, formatTicket('box-1', 'k0', 1), 1))).toBe('keyUnknown unknown');
+  expect(countRuns(sendRequest(world, ticket, 1))).toBe(1);
+  expect(countRuns(sendRequest(world, ticket, 2))).toBe(0);
+  const restarted = await createTestWorld('box-1');
+  expect(readRefusal(sendRequest(restarted, formatTicket('box-1', 'k0', 1), 1))).toBe('keyUnknown unknown');
 });
 
 test('a timed key runs only when it is younger than the ownership by the margin', async () => {
   const world = await createTestWorld('box-1', { settings });
   confirm(world, 1_000);
-  expect(readRefusal(ask(world, createUuid(MARGIN_MS), 1_000))).toBe('keyUnknown unknown');
-  expect(countRuns(ask(world, createUuid(MARGIN_MS + 1), 1_000))).toBe(1);
+  expect(readRefusal(sendRequest(world, createUuid(MARGIN_MS), 1_000))).toBe('keyUnknown unknown');
+  expect(countRuns(sendRequest(world, createUuid(MARGIN_MS + 1), 1_000))).toBe(1);
 });
 
-test('a key whose time lies ahead is refused as not run', async () => {
+test('a key whose time is ahead is refused as not run', async () => {
   const world = await createTestWorld('box-1', { settings });
   confirm(world, 1_000);
-  expect(readRefusal(ask(world, createUuid(1_071), 1_000))).toBe('keyAhead no');
-  expect(readRefusal(ask(world, createUuid(1_060), 1_000))).toBe('keyUnsure unknown');
+  expect(readRefusal(sendRequest(world, createUuid(1_071), 1_000))).toBe('keyAhead no');
+  expect(readRefusal(sendRequest(world, createUuid(1_060), 1_000))).toBe('keyUnsure unknown');
 });
 
 test('an owner whose lists are not confirmed runs nothing', async () => {
   const world = await createTestWorld('box-1', { settings });
   confirm(world, 1_000);
-  const effects = askUnconfirmed(world, createUuid(1_000), 1_101);
+  const effects = requestWhileUnconfirmed(world, createUuid(1_000), 1_101);
   expect([countRuns(effects), readRefusal(effects)]).toEqual([0, 'keyUnsure unknown']);
-  // The platform has just failed: the next is refused at once.
-  expect(readRefusal(ask(world, createUuid(1_000), 1_140))).toBe('keyUnsure unknown');
+  // The call to the platform has just failed, so the next request is refused immediately.
+  expect(readRefusal(sendRequest(world, createUuid(1_000), 1_140))).toBe('keyUnsure unknown');
 });
 
-test('a key that waits runs once its lists are confirmed, and is refused after half a second without a word', async () => {
+test('a held key runs once its lists are confirmed, and is refused after half a second without that', async () => {
   const world = await createTestWorld('box-1', { settings });
   confirm(world, 1_000);
-  expect(countRuns(ask(world, createUuid(1_000, 1), 1_101))).toBe(0);
+  expect(countRuns(sendRequest(world, createUuid(1_000, 1), 1_101))).toBe(0);
   runTurn(world, [{ type: 'platformContact', name: 'declared', ok: true, requestedAtMs: 1_101 }], 1_121);
   expect(countRuns(runTurn(world, [{ type: 'tick' }], 1_141))).toBe(0);
   runTurn(world, [{ type: 'platformContact', name: 'boxes', ok: true, requestedAtMs: 1_101 }], 1_142);
   expect(countRuns(runTurn(world, [{ type: 'tick' }], 1_162))).toBe(1);
-  ask(world, createUuid(2_100, 2), 2_200);
+  sendRequest(world, createUuid(2_100, 2), 2_200);
   expect(readRefusal(runTurn(world, [{ type: 'tick' }], 2_699))).toBe('none');
   const effects = runTurn(world, [{ type: 'tick' }], 2_720);
   expect([countRuns(effects), readRefusal(effects)]).toEqual([0, 'keyUnsure unknown']);
 });
 
-test('a key that waited until its caller had no time left does not run', async () => {
+test('a key that was held until its deadline had passed does not run', async () => {
   const world = await createTestWorld('box-1', { settings });
   confirm(world, 1_000);
   const head = { ...createHead(createUuid(1_000)), remainingMs: 100 };
@@ -138,11 +141,14 @@
   expect([countRuns(effects), world.heldKeys, world.keys.size]).toEqual([0, [], 0]);
 });
 
-test('a key in doubt is counted by reason, and the first of a second is logged with the state behind it', async () => {
+test('an undecidable key is counted by reason, and the first in a second is logged with its cause', async () => {
   const world = await createTestWorld('box-1', { settings });
   confirm(world, 1_000);
-  const effects = askUnconfirmed(world, createUuid(1_000), 1_101);
-  effects.push(...ask(world, createUuid(1_000), 1_140), ...askUnconfirmed(world, createUuid(1_000), 2_121));
+  const effects = requestWhileUnconfirmed(world, createUuid(1_000), 1_101);
+  effects.push(
+    ...sendRequest(world, createUuid(1_000), 1_140),
+    ...requestWhileUnconfirmed(world, createUuid(1_000), 2_121),
+  );
   const counted = effects.filter((effect) => effect.type === 'count').map(({ counter }) => counter);
   expect(counted.filter((counter) => counter === 'keyDoubt.listUnconfirmed')).toHaveLength(3);
   const logged = effects.filter((effect) => effect.type === 'log').map(({ message }) => message);
@@ -159,25 +165,25 @@
   runTurn(world, [{ type: 'valueRead', name: 'boxes', text: newer }], 10);
   runTurn(world, [{ type: 'valueRead', name: 'boxes', text: older }], 900);
   confirm(world, 1_000);
-  expect(countRuns(ask(world, createUuid(1_000), 1_000))).toBe(0);
+  expect(countRuns(sendRequest(world, createUuid(1_000), 1_000))).toBe(0);
   confirm(world, 1_020);
   const effects = runTurn(world, [{ type: 'tick' }], 1_500);
   expect([countRuns(effects), readRefusal(effects)]).toEqual([0, 'keyUnsure unknown']);
 });
 
-test('a missed list ends every ownership', async () => {
+test('a skipped version of the list restarts the ownership of all keys', async () => {
   const world = await createTestWorld('box-1', { settings });
   const text = world.values.boxes.text.replace('"version":1', '"version":3');
   runTurn(world, [{ type: 'valueRead', name: 'boxes', text }], 900);
   confirm(world, 1_000);
-  expect(readRefusal(ask(world, createUuid(1_000), 1_000))).toBe('keyUnknown unknown');
+  expect(readRefusal(sendRequest(world, createUuid(1_000), 1_000))).toBe('keyUnknown unknown');
 });
 
 test('a call that did not run frees its key; one that may have run never does', async () => {
   const world = await createTestWorld('box-1', { settings, endpoints: createEngines(1) });
   confirm(world, 1_000);
   const key = createUuid(1_000);
-  ask(world, key, 1_000);
+  sendRequest(world, key, 1_000);
   const end = (outcome: 'notSent' | 'broken'): void => {
     const [call] = [...world.calls.values()];
     const { requestId, attempt } = call?.assign ?? { requestId: '', attempt: 0 };
@@ -186,12 +192,12 @@
     runTurn(world, [{ type: 'callEnded', requestId, attempt, outcome: ended }], 1_010);
   };
   end('notSent');
-  expect(countRuns(ask(world, key, 1_020))).toBe(1);
+  expect(countRuns(sendRequest(world, key, 1_020))).toBe(1);
   end('broken');
-  expect(readRefusal(ask(world, key, 1_030))).toBe('keyUnknown unknown');
+  expect(readRefusal(sendRequest(world, key, 1_030))).toBe('keyUnknown unknown');
 });
 
-/** One step of a random history of three boxes. */
+/** One step of a random history of three boxes. `pass`: time passes; `lose`: a frame is lost. */
 type Step =
   | { readonly type: 'ask'; readonly box: number; readonly key: number; readonly isFresh: boolean }
   | { readonly type: 'pass'; readonly ms: number }
@@ -233,7 +239,7 @@
 
 const BOX_IDS = ['box-0', 'box-1', 'box-2'];
 
-/** Three real cores with lists that each reads in its own time, frames that may be late or lost, crashes and stops. */
+/** Three real cores that read lists at different times, with late or lost frames, crashes and graceful shutdowns. */
 class Fleet {
   readonly runs = new Map<string, number>();
   private readonly worlds: World[] = [];
@@ -330,7 +336,7 @@
   }
 }
 
-test('no history of three boxes runs a key twice', async () => {
+test('no random history of three boxes runs a key twice', async () => {
   let ran = 0;
   await fc.assert(
     fc.asyncProperty(fc.array(stepArbitrary, { minLength: 20, maxLength: 80 }), async (steps) => {
@@ -341,6 +347,6 @@
     }),
     { seed: 7, numRuns: 1_500 },
   );
-  // The histories must reach the rule they are to test.
+  // The histories must run calls, otherwise they would not exercise the rule.
   expect(ran).toBeGreaterThan(100);
 });
--- a/packages/core/src/__tests__/membership.test.ts
+++ b/packages/core/src/__tests__/membership.test.ts
@@ -21,7 +21,7 @@
   );
 }
 
-test('a silent peer is not live after its lease, and a heartbeat brings it back', async () => {
+test('a silent peer is not live after its lease, and is live again after a heartbeat', async () => {
   const world = await createTestWorld('box-1', { boxIds: ['box-1', 'box-2'] });
   expect(world.live.all).toEqual(['box-1', 'box-2']);
   runTurn(world, [{ type: 'tick' }], world.settings.leaseMs + 1);
@@ -30,18 +30,18 @@
   expect(world.live.all).toEqual(['box-1', 'box-2']);
 });
 
-test('a broken link ends a peer at once, and every endpoint has a steward among those left', async () => {
+test('a peer is not live after its link broke, and its endpoints are owned by the remaining boxes', async () => {
   const world = await createTestWorld('box-1', { boxIds: ['box-1', 'box-2'], endpoints: createEngines(8) });
   runTurn(world, [{ type: 'peerDown', boxId: 'box-2' }], 10);
   expect([...world.endpoints.values()].map((row) => row.ownerId)).toEqual(Array(8).fill('box-1'));
 });
 
-test('a hall without a live box has its endpoints looked after from another', async () => {
+test('the endpoints of a hall without a live box are owned by boxes of another hall', async () => {
   const world = await createTestWorld('box-1', { endpoints: createEngines(2, 'antigua') });
   expect([...world.endpoints.values()].map((row) => row.ownerId)).toEqual(['box-1', 'box-1']);
 });
 
-test('boxes that see the same lists agree on every steward', async () => {
+test('boxes with the same lists agree on the owner of every endpoint', async () => {
   const options = { boxIds: ['box-1', 'box-2', 'box-3'], endpoints: createEngines(20) };
   const worlds = await Promise.all(options.boxIds.map((id) => createTestWorld(id, options)));
   const tables = worlds.map((world) => [...world.endpoints.values()].map((row) => row.ownerId));
@@ -50,7 +50,7 @@
   expect(new Set(tables[0]).size).toBe(3);
 });
 
-test('the directory moves to new homes when a box stops', async () => {
+test('a stopping box hands its directory entries over to their new home boxes', async () => {
   const world = await createTestWorld('box-1', { boxIds: ['box-1', 'box-2'], endpoints: createEngines(8) });
   const own = Array.from({ length: 50 }, (_, index) => `chat-${index}`).filter(
     (chat) => findHomeBox(world, 'assistant', chat) === 'box-1',
@@ -62,7 +62,7 @@
   expect(world.directory.size).toBe(0);
 });
 
-test('a file is taken from a peer that says it holds a newer one, and an older one is ignored', async () => {
+test('a newer file that a peer advertises is requested from it, and an older file is ignored', async () => {
   const world = await createTestWorld('box-1', { boxIds: ['box-1', 'box-2'] });
   const newer = { ...heartbeat, stamps: [[2, 0] as const, [0, 0] as const, [0, 0] as const] };
   expect(listSent(receive(world, 'box-2', newer, 10), 'valueRequest')).toEqual([
@@ -76,7 +76,7 @@
   expect(world.declared?.declaration.revision).toBe(2);
 });
 
-test('two files of one revision settle on the same one in either order', async () => {
+test('of two files with one revision, the same one comes into force in either order', async () => {
   const rivals = ['red', 'blue'];
   const results = [];
   for (const order of [rivals, [...rivals].reverse()]) {
@@ -90,7 +90,7 @@
   expect(results[0]).toBe(results[1]);
 });
 
-test('only a few boxes of a hall watch the platform; when they lose it, others take over', async () => {
+test('only a few boxes of a hall watch the platform; when they cannot reach it, others take over', async () => {
   const boxIds = ['box-1', 'box-2', 'box-3', 'box-4', 'box-5'];
   const watchers = [];
   for (const id of boxIds) {
