--- a/packages/config/src/__tests__/config.test.ts
+++ b/packages/config/src/__tests__/config.test.ts
@@ -6,35 +6,35 @@
 
 const example = readFileSync('examples/lavanda/declared.toml', 'utf8');
 
-function listProblems(text: string): string[] {
+function formatProblems(text: string): string[] {
   const result = parseDeclaration(text);
   return result.err ? result.val.map((problem) => `${problem.code} ${problem.at}`) : [];
 }
 
 test.each(['lavanda', 'granja'])('the example of %s is accepted', (name) => {
-  expect(listProblems(readFileSync(`examples/${name}/declared.toml`, 'utf8'))).toEqual([]);
+  expect(formatProblems(readFileSync(`examples/${name}/declared.toml`, 'utf8'))).toEqual([]);
 });
 
-test('every error of a file is named at its field', () => {
+test('every error of a file is reported with the path of its field', () => {
   const text = example
     .replace('loadBound = 1.15', 'loadBound = 0.5')
     .replace('weight = 4', 'weight = -1\nwieght = 4');
-  expect(listProblems(text).sort()).toEqual([
+  expect(formatProblems(text).sort()).toEqual([
     'fileInvalid services[0].loadBound',
     'fileInvalid teams[0]',
     'fileInvalid teams[0].weight',
   ]);
 });
 
-test('names declared twice, broken syntax and oversized files are refused', () => {
-  expect(listProblems(example.replace('"posadas"', '"hotel-chain"'))).toEqual([
+test('duplicate names, syntax errors and oversized files are rejected', () => {
+  expect(formatProblems(example.replace('"posadas"', '"hotel-chain"'))).toEqual([
     'fileReference teams[1].name',
   ]);
-  expect(listProblems('revision = ')[0]).toMatch(/^fileNotToml line 1, column \d+$/);
-  expect(listProblems(`# ${'x'.repeat(1_000_001)}`)).toEqual(['fileTooLarge ']);
+  expect(formatProblems('revision = ')[0]).toMatch(/^fileNotToml line 1, column \d+$/);
+  expect(formatProblems(`# ${'x'.repeat(1_000_001)}`)).toEqual(['fileTooLarge ']);
 });
 
-test('a verdict depends on nothing but the bytes', () => {
+test('the result depends only on the content of the file', () => {
   fc.assert(
     fc.property(fc.nat(example.length - 1), fc.string({ maxLength: 5 }), (at, piece) => {
       const text = example.slice(0, at) + piece + example.slice(at + piece.length);
@@ -49,7 +49,7 @@
   expect(findLine(example, 'nothing[9].x')).toBeUndefined();
 });
 
-test('a list that is no list is refused', () => {
+test('malformed lists are rejected', () => {
   expect(parseBoxList('{').err).toBe(true);
   expect(parseBoxList('{"version":1,"boxes":[{"id":"b"}]}').err).toBe(true);
 });
@@ -73,13 +73,13 @@
     { heartbeatMs: 1_000, keyLeaseMs: 3_900 },
     'settingsInvalid keyLeaseMs',
   ],
-  ['a URL that is none', { platformUrl: 'platform' }, 'settingsInvalid platformUrl'],
-])('%s is refused', (_name, change, expected) => {
+  ['an invalid URL', { platformUrl: 'platform' }, 'settingsInvalid platformUrl'],
+])('%s is rejected', (_name, change, expected) => {
   const result = validateBoxSettings({ ...settings, ...change });
   expect(result.err && result.val.map((problem) => `${problem.code} ${problem.at}`)).toEqual([expected]);
 });
 
-test('flags go over the file, and a file that cannot be read is named', () => {
+test('flags take precedence over the file, and an unreadable file is reported', () => {
   const path = join(mkdtempSync(join(tmpdir(), 'hazelwalk-')), 'box.toml');
   const lines = Object.entries(settings).map(([key, value]) => `${key} = "${value}"`);
   writeFileSync(path, lines.join('\n'));
--- a/packages/config/src/boxSettings.ts
+++ b/packages/config/src/boxSettings.ts
@@ -1,5 +1,6 @@
 /**
- * The settings of one box: a TOML file, with command-line flags over it. Checked whole before anything starts.
+ * The settings of one box: a TOML file, overridden by command-line flags. All settings are validated before anything
+ * starts.
  */
 import { readFileSync } from 'node:fs';
 import { DEFAULT_CORE_SETTINGS, Err, Ok, POLICY_NAMES, createPolicy } from '@hazelwalk/core';
@@ -20,14 +21,14 @@
 const boxSettingsSchema = z.strictObject({
   boxId: z.string().regex(/^[a-z0-9][a-z0-9-]{0,30}$/, 'must be lower-case letters, digits and dashes'),
   hall: z.string().min(1),
-  /** Where callers connect. */
+  /** Listener for callers. */
   callerAddress: address,
-  /** Where other boxes connect. */
+  /** Listener for other boxes. */
   peerAddress: address,
-  /** Where operators' tools connect. */
+  /** Listener for operators' tools. */
   adminAddress: address,
   platformUrl: z.url({ protocol: /^https?$/, error: 'must be an http or https URL' }),
-  /** Boxes to ask when the platform is down at start. */
+  /** Peers to connect to if the platform is down at start. */
   seedAddresses: z.array(address).default([]),
   statsdAddress: address.optional(),
   logLevel: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
@@ -43,7 +44,7 @@
   drainTimeoutMs: z.number().int().positive().default(DEFAULT_CORE_SETTINGS.drainTimeoutMs),
 });
 
-/** The settings of one box once checked. Addresses are `host:port`; port 0 lets the system choose. */
+/** The validated settings of one box. Addresses are `host:port`; with port 0 the operating system chooses a port. */
 export type BoxSettings = z.infer<typeof boxSettingsSchema>;
 
 function checkAddresses(settings: BoxSettings): Problem[] {
@@ -55,35 +56,42 @@
   });
 }
 
-/** Least heartbeats in a lease: a shorter one would take live peers for dead. */
-const HEARTBEATS_PER_LEASE = 2;
-/** Least heartbeats in a lease of keys: half of it is for waiting at the platform, and one heartbeat may be lost. */
-const HEARTBEATS_PER_KEY_LEASE = 4;
+/** Shortest lease, in heartbeat intervals: with a shorter one, live peers would count as dead. */
+const MIN_HEARTBEATS_PER_LEASE = 2;
+/**
+ * Shortest lease of keys, in heartbeat intervals: half of it is for waiting on the platform, and one heartbeat may be
+ * lost.
+ */
+const MIN_HEARTBEATS_PER_KEY_LEASE = 4;
 
-function checkTimes(settings: BoxSettings): Problem[] {
+function checkLeases(settings: BoxSettings): Problem[] {
   const { heartbeatMs, leaseMs, keyLeaseMs } = settings;
   return [
-    ...checkHeartbeats('leaseMs', leaseMs, heartbeatMs, HEARTBEATS_PER_LEASE),
-    ...checkHeartbeats('keyLeaseMs', keyLeaseMs, heartbeatMs, HEARTBEATS_PER_KEY_LEASE),
+    ...checkLease('leaseMs', leaseMs, heartbeatMs, MIN_HEARTBEATS_PER_LEASE),
+    ...checkLease('keyLeaseMs', keyLeaseMs, heartbeatMs, MIN_HEARTBEATS_PER_KEY_LEASE),
   ];
 }
 
-function checkHeartbeats(at: string, timeMs: number, heartbeatMs: number, least: number): Problem[] {
-  if (timeMs >= least * heartbeatMs) return [];
+function checkLease(at: string, leaseMs: number, heartbeatMs: number, minHeartbeats: number): Problem[] {
+  if (leaseMs >= minHeartbeats * heartbeatMs) return [];
   return [
-    { code: 'settingsInvalid', at, detail: `must be at least ${least} times heartbeatMs (${heartbeatMs})` },
+    {
+      code: 'settingsInvalid',
+      at,
+      detail: `must be at least ${minHeartbeats} times heartbeatMs (${heartbeatMs})`,
+    },
   ];
 }
 
 /**
- * Checks the settings of a box, or lists everything that is wrong.
+ * Validates the settings of a box; returns them, or all problems found.
  *
  * @example validateBoxSettings({ boxId: 'b1', hall: 'mixco', ...addresses })
  */
 export function validateBoxSettings(value: unknown): Result<BoxSettings, readonly Problem[]> {
   const parsed = boxSettingsSchema.safeParse(value);
   if (!parsed.success) return Err(listProblems('settingsInvalid', parsed.error));
-  const problems = [...checkAddresses(parsed.data), ...checkTimes(parsed.data)];
+  const problems = [...checkAddresses(parsed.data), ...checkLeases(parsed.data)];
   return problems.length > 0 ? Err(problems) : Ok(parsed.data);
 }
 
@@ -96,7 +104,7 @@
 }
 
 /**
- * Loads a box's settings from its file, with flags taking precedence.
+ * Loads and validates a box's settings from its file; flags take precedence.
  *
  * @example loadBoxSettings('/etc/hazelwalk/box.toml', { logLevel: 'debug' })
  */
@@ -106,11 +114,11 @@
 ): Result<BoxSettings, readonly Problem[]> {
   const file = path === undefined ? Ok({}) : readSettingsFile(path);
   if (file.err) return Err([file.val]);
-  const given = Object.entries(flags).filter(([, value]) => value !== undefined);
-  return validateBoxSettings({ ...file.val, ...Object.fromEntries(given) });
+  const setFlags = Object.entries(flags).filter(([, value]) => value !== undefined);
+  return validateBoxSettings({ ...file.val, ...Object.fromEntries(setFlags) });
 }
 
-/** The core's settings for a box: the defaults with what the box's file sets. */
+/** Creates the settings of the core: the defaults, overridden by the box's settings. */
 export function createCoreSettings(settings: BoxSettings): CoreSettings {
   const { heartbeatMs, leaseMs, drainTimeoutMs, keyLagMs, keyLeaseMs, keySkewMs, clockErrorMs } = settings;
   const keys = { keyLagMs, keyLeaseMs, keySkewMs, clockErrorMs };
--- a/packages/config/src/declarationSchema.ts
+++ b/packages/config/src/declarationSchema.ts
@@ -1,5 +1,5 @@
 /**
- * The schema of the operators' declared file: the one place that says what may stand in it.
+ * Schemas of the operators' declared file and of the platform's lists.
  */
 import { z } from 'zod';
 
@@ -34,7 +34,7 @@
   repeat: z.enum(['safe', 'keyChecked', 'never']),
 });
 
-/** What a declared file holds. */
+/** Schema of the declared file; fields that it does not contain are rejected. */
 export const declarationSchema = z.strictObject({
   revision: positive,
   deployment: name,
@@ -46,13 +46,13 @@
 const listedState = z.enum(['live', 'leaving']);
 const address = z.string().regex(/^[^\s:]+:\d{1,5}$/, 'must be host:port');
 
-/** What the platform's box list holds. */
+/** Schema of the platform's box list. */
 export const boxListSchema = z.object({
   version: z.number().int().nonnegative(),
   boxes: z.array(z.object({ id: name, hall: name, peerAddress: address, state: listedState })),
 });
 
-/** What the platform's endpoint list holds. */
+/** Schema of the platform's endpoint list. */
 export const endpointListSchema = z.object({
   version: z.number().int().nonnegative(),
   endpoints: z.array(
--- a/packages/config/src/index.ts
+++ b/packages/config/src/index.ts
@@ -1,4 +1,4 @@
-/** Checks of everything that operators and the platform write: declared files, lists and box settings. */
+/** Validation of the input from operators and the platform: declared files, lists and box settings. */
 export * from './boxSettings.js';
 export * from './parseDeclaration.js';
 export * from './parseLists.js';
--- a/packages/config/src/parseDeclaration.ts
+++ b/packages/config/src/parseDeclaration.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a declared file. The verdict depends on nothing but its bytes, so every box reaches the same one.
+ * Validates a declared file. The result depends only on the file's content, so that all boxes get the same one.
  */
 import { Err, Ok } from '@hazelwalk/core';
 import type { Declaration, Problem, Result } from '@hazelwalk/core';
@@ -7,7 +7,7 @@
 import { listProblems } from './problems.js';
 import { readToml } from './readToml.js';
 
-/** Largest value that the platform holds. */
+/** Largest value that the platform stores. */
 export const MAX_VALUE_BYTES = 1_000_000;
 
 function listDuplicates(at: string, names: readonly string[]): Problem[] {
@@ -35,7 +35,7 @@
 }
 
 /**
- * Reads a declared file whole, or lists everything that is wrong with it.
+ * Parses and validates a declared file; returns it, or all problems found.
  *
  * @example parseDeclaration(text).map((declaration) => declaration.revision)
  */
--- a/packages/config/src/parseLists.ts
+++ b/packages/config/src/parseLists.ts
@@ -1,5 +1,5 @@
 /**
- * Checks the platform's box list and endpoint list, which are JSON.
+ * Validates the platform's box list and endpoint list, which are JSON.
  */
 import { Err, Ok } from '@hazelwalk/core';
 import type { BoxList, EndpointList, Problem, Result, ValueParsers } from '@hazelwalk/core';
@@ -19,17 +19,17 @@
   return parsed.success ? Ok(parsed.data) : Err(listProblems('listInvalid', parsed.error));
 }
 
-/** Reads a box list. */
+/** Parses and validates a box list. */
 export function parseBoxList(text: string): Result<BoxList, readonly Problem[]> {
   return parseList(boxListSchema, text);
 }
 
-/** Reads an endpoint list. */
+/** Parses and validates an endpoint list. */
 export function parseEndpointList(text: string): Result<EndpointList, readonly Problem[]> {
   return parseList(endpointListSchema, text);
 }
 
-/** The checks that the core applies to published values. */
+/** Parsers of the published values, as injected into the core. */
 export const valueParsers: ValueParsers = {
   declared: parseDeclaration,
   boxes: parseBoxList,
--- a/packages/config/src/problems.ts
+++ b/packages/config/src/problems.ts
@@ -1,11 +1,11 @@
 /**
- * Turns the schema library's issues into this project's numbered problems, each at its field.
+ * Converts issues of the schema library into problems with a result code and the path of the field.
  */
 import type { Problem, ResultCode } from '@hazelwalk/core';
 import type { z } from 'zod';
 
 /**
- * Writes a path as operators write it.
+ * Formats a path within a file.
  *
  * @example formatPath(['teams', 0, 'weight']) // 'teams[0].weight'
  */
@@ -17,7 +17,7 @@
     .join('');
 }
 
-/** Lists every issue as a problem with the same code. */
+/** Converts each issue into a problem with the given code. */
 export function listProblems(code: ResultCode, error: z.ZodError): Problem[] {
   return error.issues.map((issue) => ({ code, at: formatPath(issue.path), detail: issue.message }));
 }
--- a/packages/config/src/readToml.ts
+++ b/packages/config/src/readToml.ts
@@ -1,11 +1,11 @@
 /**
- * Reads TOML text and finds the line on which a field stands.
+ * Parses TOML and finds the line number of a field.
  */
 import { Err, Ok } from '@hazelwalk/core';
 import type { Problem, Result } from '@hazelwalk/core';
 import { parse, TomlError } from 'smol-toml';
 
-/** Reads TOML, or says where its syntax is wrong. */
+/** Parses TOML; returns the position of a syntax error as a problem. */
 export function readToml(text: string): Result<Record<string, unknown>, Problem> {
   try {
     return Ok(parse(text));
@@ -19,7 +19,7 @@
 const PATH_PATTERN = /^(\w+)(?:\[(\d+)\])?(?:\.(\w+))?/;
 
 /**
- * Finds the line of a field in declared TOML, counted from 1; undefined where it cannot be told.
+ * Finds the line of a field in a declared file, counted from 1; undefined if it cannot be determined.
  *
  * @example findLine('[[teams]]\nweight = 0\n', 'teams[0].weight') // 2
  */
--- a/packages/wire/src/__tests__/frameCodec.test.ts
+++ b/packages/wire/src/__tests__/frameCodec.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { encodeFrame, FrameDecoder, LENGTH_BYTES } from '../index.js';
 
-const sample: Frame = {
+const sampleFrame: Frame = {
   type: 'assign',
   requestId: 'box-01.k3.7',
   attempt: 1,
@@ -29,7 +29,7 @@
   reason: 'overBound',
 };
 
-const others: Frame[] = [
+const otherFrames: Frame[] = [
   { type: 'data', requestId: 'a', attempt: 1, side: 'answer', seq: 0, bytes: Buffer.from('hello') },
   { type: 'end', requestId: 'a', attempt: 1, side: 'answer', count: 1 },
   {
@@ -46,8 +46,8 @@
   },
 ];
 
-test('frames survive the wire however the bytes are cut', () => {
-  const frames = [sample, ...others];
+test('frames are decoded from chunks of any size', () => {
+  const frames = [sampleFrame, ...otherFrames];
   const bytes = Buffer.concat(frames.map(encodeFrame));
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 1, max: 64 }), { minLength: 1, maxLength: 20 }), (cuts) => {
@@ -66,14 +66,14 @@
   );
 });
 
-test('a frame cut short is a numbered error', () => {
+test('a truncated frame is reported with its result code', () => {
   const decoder = new FrameDecoder();
-  decoder.push(encodeFrame(sample).subarray(0, 20));
+  decoder.push(encodeFrame(sampleFrame).subarray(0, 20));
   const end = decoder.finish();
   expect(end.err && end.val.code).toBe('frameTruncated');
 });
 
-test('an oversized frame is refused by its length alone', () => {
+test('an oversized frame is rejected by its length prefix', () => {
   const decoder = new FrameDecoder(100);
   const length = Buffer.alloc(LENGTH_BYTES);
   length.writeUInt32BE(101);
@@ -84,7 +84,7 @@
 test.each([
   ['bytes that are not CBOR', Buffer.from([0, 0, 0, 2, 0xff, 0xff])],
   ['an unknown type', Buffer.from([0, 0, 0, 4, 0xa1, 0x00, 0x61, 0x78])],
-])('%s are a numbered error', (_name, bytes) => {
+])('%s: reported with a result code', (_name, bytes) => {
   const result = new FrameDecoder().push(bytes);
   expect(result.err && result.val.code).toBe('frameMalformed');
 });
--- a/packages/wire/src/frameCodec.ts
+++ b/packages/wire/src/frameCodec.ts
@@ -1,5 +1,5 @@
 /**
- * Encodes frames for the wire, and decodes a byte stream back into frames however it was cut into chunks.
+ * Encodes frames, and decodes a stream of chunks of any size into frames.
  */
 import { Err, Ok } from '@hazelwalk/core';
 import type { Problem, Result } from '@hazelwalk/core';
@@ -16,7 +16,7 @@
 });
 
 /**
- * Encodes one frame with its length in front.
+ * Encodes one frame with its length prefix.
  *
  * @example socket.write(encodeFrame({ type: 'cancel', requestId: 'b1.x.7', attempt: 1 }))
  */
@@ -38,13 +38,13 @@
   }
 }
 
-/** Collects the bytes of one link and yields whole frames. After an error the link must be closed. */
+/** Decodes the byte stream of one link into frames. After an error the link must be closed. */
 export class FrameDecoder {
   private pending: Buffer = Buffer.alloc(0);
 
   constructor(private readonly maxFrameBytes: number = MAX_FRAME_BYTES) {}
 
-  /** Adds a chunk; returns the frames it completed, or the first error. */
+  /** Adds a chunk; returns the frames that it completes, or the first error. */
   push(chunk: Buffer): Result<WireFrame[], Problem> {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const frames: WireFrame[] = [];
@@ -66,7 +66,7 @@
     return Ok(frames);
   }
 
-  /** Says whether the stream may end here; it may not inside a frame. */
+  /** Checks the end of the stream; returns an error if it ended inside a frame. */
   finish(): Result<void, Problem> {
     if (this.pending.length === 0) return Ok(undefined);
     const detail = `the link closed with ${this.pending.length} bytes of an unfinished frame`;
--- a/packages/wire/src/frameSchema.ts
+++ b/packages/wire/src/frameSchema.ts
@@ -1,12 +1,12 @@
 /**
- * The schema of everything a peer may send. A frame that does not fit is refused, never half read.
+ * The schema of all frames between boxes. A frame that does not match it is rejected as a whole.
  */
 import type { BoxRecord, Frame } from '@hazelwalk/core';
 import { RESULT_CODES, VALUE_NAMES } from '@hazelwalk/core';
 import type { ResultCode } from '@hazelwalk/core';
 import { z } from 'zod';
 
-/** First frame on every link: who is speaking, and which version of the protocol. */
+/** First frame on every link: identity of the sender and its protocol version. */
 export interface HelloFrame {
   readonly type: 'hello';
   readonly protocolVersion: number;
@@ -14,7 +14,7 @@
   readonly box: BoxRecord;
 }
 
-/** Everything that may stand on the wire. */
+/** Every frame that boxes exchange. */
 export type WireFrame = HelloFrame | Frame;
 
 const text = z.string();
@@ -95,7 +95,7 @@
   z.object({ type: z.literal('credit'), ...attempt, side, bytes: count }),
 ]);
 
-/** Checks a decoded frame; undefined if it does not fit. */
+/** Validates a decoded frame; undefined if it does not match the schema. */
 export function checkFrame(value: unknown): WireFrame | undefined {
   const parsed = schema.safeParse(value);
   return parsed.success ? (parsed.data as WireFrame) : undefined;
--- a/packages/wire/src/protocol.ts
+++ b/packages/wire/src/protocol.ts
@@ -1,19 +1,19 @@
 /**
- * Constants of the protocol between boxes. Changing any of them needs a new PROTOCOL_VERSION.
+ * Constants of the protocol between boxes. A change of any of them needs a new PROTOCOL_VERSION.
  *
- * A frame is a 4-byte big-endian length, then that many bytes of CBOR. Field names travel as small numbers.
+ * A frame is a 4-byte big-endian length, followed by that many bytes of CBOR. Field names are encoded as small numbers.
  */
 
-/** Boxes of different versions do not talk to each other. */
+/** Boxes with different protocol versions do not connect to each other. */
 export const PROTOCOL_VERSION = 1;
 
-/** Bytes of the length that precedes each frame. */
+/** Size of the length prefix of each frame. */
 export const LENGTH_BYTES = 4;
 
-/** Largest frame: a published value of 1 MB or a chat body, with room for the rest. */
+/** Largest frame: enough for a published value of 1 MB or the body of a chat request, and the other fields. */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-/** Number of each field on the wire. Never reuse a number. */
+/** Number of each field in encoded frames. Numbers must not be reused. */
 export const FIELD_NUMBERS: Readonly<Record<string, number>> = {
   type: 0,
   requestId: 1,
