--- a/spec/cold.pml
+++ b/spec/cold.pml
@@ -1,81 +1,85 @@
 /*
- * What reaches an endpoint that has just started: the right to send to it is shared out among the first boxes of its hall.
+ * Rate limit of requests to an endpoint that has just started: the right to send to it is divided among the first boxes of
+ * its hall.
  *
- * Four boxes, ranked by their numbers, of which the first that a box knows of may send one request in a window. Half of what
- * the platform allows is given out, so two may come in a window. Boxes come to stand in up to three parts that do not hear
- * each other, and meet again. Either all restart at once, in whatever parts they stand, or one at any time. A box that starts
- * greets those that it hears; it counts as settled when it has heard all of them, and at least one. Not covered:
- * boxes that part while some have not settled after a restart of all, and two that restart in different parts which then
- * change: a third part may then take a share for the length of a window.
+ * There are four boxes, ranked by number. A box that knows no box of a lower number may send one request per window. Half of
+ * the rate allowed by the platform is given out, so that two requests per window are acceptable. Boxes are divided into up
+ * to three partitions that cannot reach each other, and reconnect. Either all boxes restart at once, in any partitions, or
+ * one box restarts at any time. A box that starts announces itself to the boxes that it reaches; it counts as settled when
+ * it has received messages from all of them and from at least one box. Not covered: boxes that are separated while some
+ * have not settled after a restart of all, and two boxes that restart in different partitions which then change. In these
+ * cases a third partition may use a share for the length of a window.
  *
- * To hold: no more than two requests in a window. A window ends for all at once here; that a box counts longer windows than
- * the platform is left to the tests of the code.
+ * Property: at most two requests per window. Here a window ends for all boxes at once; the tests of the code check that
+ * boxes count in longer windows than the platform.
  *
- * Broken variants, each to be refuted: -DLIVE_VIEW (only boxes that are heard now count, so that each part shares anew),
- * -DNO_SETTLE (a box that has just started takes itself for the first), -DNO_COUNT (a sharer does not count what it sent),
- * -DALONE (a box that has heard nobody counts as settled).
+ * Broken variants, each of which must be refuted: -DLIVE_VIEW (only boxes that are reachable now count, so that each
+ * partition divides the rate again), -DNO_SETTLE (a box that has just started considers itself the first), -DNO_COUNT (a
+ * box does not count the requests that it sent), -DALONE (a box that has received no message from another one counts as
+ * settled).
  */
 #define BOXES 4
-#define MOST 2
-#define MOVES 3
-#define RESTARTS 1
+#define MAX_REQUESTS 2
+#define MAX_MOVES 3
+#define MAX_RESTARTS 1
 
-byte part[BOXES];           /* boxes of one part hear each other */
-byte knows[BOXES] = 15;     /* boxes heard of since the start, as bits */
+byte partition[BOXES];          /* boxes in the same partition reach each other */
+byte known[BOXES] = 15;         /* boxes seen since the start, as bits */
 bool isSettled[BOXES] = true;
-bool hasWaited[BOXES] = true;  /* a window has ended since the start: settling takes longer */
-byte sent[BOXES];
-byte total = 0;
-byte moves = 0;
-bool hadHerd = false;
+bool hasWindowPassed[BOXES] = true;  /* a window has ended since the start: settling takes longer than a window */
+byte sentInWindow[BOXES];       /* requests sent by each box in this window, as it counts them */
+byte totalInWindow = 0;         /* requests that reached the endpoint in this window */
+byte moves = 0;                 /* times that a box changed partition */
+bool hadFullRestart = false;    /* all boxes have restarted at once */
 byte restarts = 0;
 byte i;
 byte b;
 
 #define BIT(n) (1 << (n))
-#define HEARS(a, c) (part[a] == part[c])
+#define ARE_CONNECTED(a, c) (partition[a] == partition[c])
 
-/* Bits of the boxes that box a hears now, itself included. */
-#define HEARD(a) ((HEARS(a, 0) * 1) | (HEARS(a, 1) * 2) | (HEARS(a, 2) * 4) | (HEARS(a, 3) * 8))
+/* Bits of the boxes that box a reaches now, including itself. */
+#define REACHABLE(a) \
+  ((ARE_CONNECTED(a, 0) * 1) | (ARE_CONNECTED(a, 1) * 2) | (ARE_CONNECTED(a, 2) * 4) | (ARE_CONNECTED(a, 3) * 8))
 #ifdef LIVE_VIEW
-#define VIEW(a) (HEARD(a) | BIT(a))
+#define VIEW(a) (REACHABLE(a) | BIT(a))
 #else
-#define VIEW(a) (knows[a] | BIT(a))
+#define VIEW(a) (known[a] | BIT(a))
 #endif
-/* No box of a better rank is in its view. */
+/* Whether no box of a lower number is in the view of box a. */
 #define IS_SHARER(a) ((VIEW(a) & (BIT(a) - 1)) == 0)
 #ifdef NO_SETTLE
-#define SETTLED(a) true
+#define IS_SETTLED(a) true
 #else
-#define SETTLED(a) isSettled[a]
+#define IS_SETTLED(a) isSettled[a]
 #endif
 #ifdef ALONE
-#define HAS_MET(a) true
+#define HAS_JOINED_FLEET(a) true
 #else
-#define HAS_MET(a) ((HEARD(a) & (15 - BIT(a))) != 0)
+#define HAS_JOINED_FLEET(a) ((REACHABLE(a) & (15 - BIT(a))) != 0)
 #endif
 #ifdef NO_COUNT
-#define HAS_SHARE(a) true
+#define HAS_SHARE_LEFT(a) true
 #else
-#define HAS_SHARE(a) (sent[a] == 0)
+#define HAS_SHARE_LEFT(a) (sentInWindow[a] == 0)
 #endif
 
 #define ALL_SETTLED (isSettled[0] && isSettled[1] && isSettled[2] && isSettled[3])
 
-inline start(a) {
-  knows[a] = 0;
+inline restart(a) {
+  known[a] = 0;
   isSettled[a] = false;
-  hasWaited[a] = false;
-  sent[a] = 0;
+  hasWindowPassed[a] = false;
+  sentInWindow[a] = 0;
 }
 
-/* Whoever hears a box knows of it from then on. */
-inline greet(a) {
+/* Every box that box a reaches knows it from then on. */
+inline announce(a) {
   i = 0;
   do
   :: i < BOXES ->
     if
-    :: HEARS(a, i) -> knows[i] = knows[i] | BIT(a)
+    :: ARE_CONNECTED(a, i) -> known[i] = known[i] | BIT(a)
     :: else
     fi;
     i++
@@ -90,54 +94,54 @@
       /* A box sends to the endpoint. */
       select(b : 0 .. 3);
       if
-      :: total <= MOST && SETTLED(b) && IS_SHARER(b) && HAS_SHARE(b) ->
-        sent[b] = 1;
-        total++;
-        assert(total <= MOST)
+      :: totalInWindow <= MAX_REQUESTS && IS_SETTLED(b) && IS_SHARER(b) && HAS_SHARE_LEFT(b) ->
+        sentInWindow[b] = 1;
+        totalInWindow++;
+        assert(totalInWindow <= MAX_REQUESTS)
       :: else
       fi
     }
   :: atomic {
       /* The window ends. */
-      total = 0;
-      sent[0] = 0; sent[1] = 0; sent[2] = 0; sent[3] = 0;
-      hasWaited[0] = true; hasWaited[1] = true; hasWaited[2] = true; hasWaited[3] = true
+      totalInWindow = 0;
+      sentInWindow[0] = 0; sentInWindow[1] = 0; sentInWindow[2] = 0; sentInWindow[3] = 0;
+      hasWindowPassed[0] = true; hasWindowPassed[1] = true; hasWindowPassed[2] = true; hasWindowPassed[3] = true
     }
   :: atomic {
-      /* A box that has not settled hears its part, and then counts. */
+      /* A box that has not settled receives messages from its partition, and settles. */
       select(b : 0 .. 3);
       if
-      :: !isSettled[b] && hasWaited[b] && HAS_MET(b) ->
-        knows[b] = knows[b] | HEARD(b);
+      :: !isSettled[b] && hasWindowPassed[b] && HAS_JOINED_FLEET(b) ->
+        known[b] = known[b] | REACHABLE(b);
         isSettled[b] = true
       :: else
       fi
     }
   :: atomic {
-      moves < MOVES && (!hadHerd || ALL_SETTLED) ->
+      moves < MAX_MOVES && (!hadFullRestart || ALL_SETTLED) ->
       moves++;
       select(b : 0 .. 3);
       if
-      :: part[b] = 0
-      :: part[b] = 1
-      :: part[b] = 2
+      :: partition[b] = 0
+      :: partition[b] = 1
+      :: partition[b] = 2
       fi;
-      /* Boxes that meet again hear each other before anything else. */
-      greet(b);
-      knows[b] = knows[b] | HEARD(b)
+      /* Boxes that reconnect exchange messages before anything else. */
+      announce(b);
+      known[b] = known[b] | REACHABLE(b)
     }
   :: atomic {
-      !hadHerd && restarts == 0 ->
-      hadHerd = true;
-      start(0); start(1); start(2); start(3);
-      total = 0
+      !hadFullRestart && restarts == 0 ->
+      hadFullRestart = true;
+      restart(0); restart(1); restart(2); restart(3);
+      totalInWindow = 0
     }
   :: atomic {
-      restarts < RESTARTS && !hadHerd ->
+      restarts < MAX_RESTARTS && !hadFullRestart ->
       restarts++;
       select(b : 0 .. 3);
-      start(b);
-      greet(b)
+      restart(b);
+      announce(b)
     }
   od
 }
--- a/spec/contact.pml
+++ b/spec/contact.pml
@@ -1,96 +1,106 @@
 /*
- * Which vanished entries count: a box that cannot read the platform, between an outage of the platform and an endpoint
- * that leaves.
+ * Which missing entries count as removed, on a box that cannot read the platform: distinguishes an outage of the platform,
+ * in which entries of live endpoints lapse, from an endpoint that leaves.
  *
- * Time goes in rounds of a second. Three boxes; 0 and 1 are of one hall, where who reads the platform tells the other all
- * that is new; all others vouch, or tell the whole list where they have a newer one. Any word may be lost. The way of a
- * box to the platform may be cut and come back, the platform may be away once. In an outage of three rounds or more the
- * entry of a live endpoint may lapse; it is back within two rounds of the platform's return. The endpoint may leave once,
- * and serves on: its entry goes, or is found gone when the platform is back.
+ * Time advances in rounds of one second. There are three boxes. Boxes 0 and 1 are in the same hall, in which a box that
+ * reads the platform sends every update to the other one. Otherwise a box confirms that the receiver is up to date, or
+ * sends the whole list if its own is newer. Any report may be lost. The connection of a box to the platform may be cut
+ * and restored, and the platform may be down once. In an outage of three rounds or more the entry of a live endpoint may
+ * lapse; it is listed again within two rounds of the platform's return. The endpoint may leave once and goes on serving:
+ * its entry is removed, or turns out to be missing when the platform returns.
  *
- * To hold: no box drops an endpoint that lives; a box that was in touch in each of the last four rounds without a break, by
- * its own reading or by a word in each of them, does not keep one that has left; and no box counts as in touch unless
- * somebody read the platform in the last few rounds.
+ * Properties: no box drops a live endpoint; a box that was connected in each of the last four rounds, by a read of its own
+ * or by a report in each of them, does not keep an endpoint that has left; and no box counts as connected unless some box
+ * has read the platform in the last few rounds.
  *
- * Broken variants, each to be refuted: -DOWN_CALLS (the platform counts as away while the box's own calls fail),
- * -DNO_DOUBT (after an outage a vanished entry counts at once), -DHEARSAY (who was vouched for vouches for others),
- * -DLAPSED_AS_LISTED (a list told to a peer does not say which endpoints are kept although they are gone),
- * -DTAKE_OLD_WORD (a word from before the end of the doubt shows that who is not back by then is gone),
- * -DPASS_OWN_DOUBT (a box that was told passes on the doubts of its own isolation).
+ * Broken variants, each of which must be refuted: -DOWN_CALLS (the platform counts as down while the box's own calls fail),
+ * -DNO_DOUBT (after an outage a missing entry counts as removed at once), -DHEARSAY (a box that has only been confirmed
+ * by a peer confirms others),
+ * -DLAPSED_AS_LISTED (a list sent to a peer does not mark the endpoints that are kept although their entries are missing),
+ * -DTAKE_OLD_WORD (a report from before the end of the grace period proves that an endpoint missing from it has left),
+ * -DPASS_OWN_DOUBT (a box that receives updates relays the grace period of its own isolation).
  */
 #define BOXES 3
-#define WORD_LIFE 2
-#define DOUBT 2
+#define REPORT_TTL 2
+#define GRACE_PERIOD 2
 #define LEASE 3
-#define BACK_IN 2
-#define CUTS 2
-#define HEARD_ENOUGH 4
-/* An answer is passed on once, in the round in which it came or while its word holds. */
-#define NEWS_LIFE 5
+#define RELIST_ROUNDS 2
+#define MAX_CUT_CHANGES 2
+#define REMOVAL_ROUNDS 4
+/* Most rounds since the last read while a box counts as connected: a read is relayed only once, in the round in which it
+   was made or while its report is valid. */
+#define MAX_ROUNDS_SINCE_READ 5
 
-bool isUp = true;
+bool isPlatformUp = true;
 bool hadOutage = false;
-byte downFor = 0;
-byte backFor = BACK_IN + 1;    /* rounds since the platform's return */
-bool lives = true;
+byte outageRounds = 0;         /* rounds since the platform went down */
+byte roundsSinceReturn = RELIST_ROUNDS + 1;  /* rounds since the platform's return */
+bool isLive = true;            /* whether the endpoint has not left */
 bool isListed = true;
-byte published = 0;            /* the platform's revision */
-byte cuts = 0;
-byte unreadFor = 0;            /* rounds since any box read the platform */
+byte published = 0;            /* revision published by the platform */
+byte cutChanges = 0;           /* times that a connection to the platform was cut or restored */
+byte roundsSinceRead = 0;      /* rounds since any box read the platform */
 
-bool isCut[BOXES];
-bool reads[BOXES] = true;
-byte doubt[BOXES];             /* rounds for which an entry that vanishes may only have lapsed */
-byte ownDoubt[BOXES];          /* the same as far as the box saw the outage itself */
+bool isCutOff[BOXES];
+bool isReading[BOXES] = true;
+byte gracePeriod[BOXES];       /* rounds for which a missing entry may only have lapsed */
+byte ownGracePeriod[BOXES];    /* the grace period when the box resumed reading the platform: reported to others */
 byte revision[BOXES];
-bool has[BOXES] = true;
-bool isLapsed[BOXES];
-byte settledFor[BOXES];        /* rounds since it had no doubt any more */
-byte heard[BOXES];             /* rounds in a row in which it was in touch since the endpoint left */
-bool hears[BOXES];
-/* Rounds for which the word of box a holds at box b, at a * BOXES + b. */
-byte vouched[9];
-byte told[9];
-byte toldDoubt[BOXES];         /* doubts of those who told it, not its own */
+bool hasEndpoint[BOXES] = true;
+bool isLapsed[BOXES];          /* whether the endpoint is kept although its entry is missing */
+byte roundsSinceGrace[BOXES];  /* rounds since the end of the grace period */
+byte informedRounds[BOXES];    /* consecutive rounds in which the box was informed, since the endpoint left */
+bool isInformed[BOXES];        /* whether the box read the platform or received a report in this round */
+/* Rounds for which a report of box a remains valid at box b, at index a * BOXES + b. */
+byte confirmationTtl[9];       /* of a report that b is up to date */
+byte updateTtl[9];             /* of a report with every update */
+byte reportedGracePeriod[BOXES];  /* grace period received with updates, which the box relays in place of its own */
 
-#define VOUCHED(b) (vouched[b] > 0 || vouched[BOXES + b] > 0 || vouched[2 * BOXES + b] > 0)
-#define TOLD(b) (told[b] > 0 || told[BOXES + b] > 0 || told[2 * BOXES + b] > 0)
-#define IN_TOUCH(b) (reads[b] || VOUCHED(b))
-/* What is known is as new as the newest word that holds: from before the doubt ended it may lack who is back. */
-#define NEWER(b, age) (vouched[b] >= WORD_LIFE - (age) || vouched[BOXES + b] >= WORD_LIFE - (age) || vouched[2 * BOXES + b] >= WORD_LIFE - (age))
+#define IS_CONFIRMED(b) (confirmationTtl[b] > 0 || confirmationTtl[BOXES + b] > 0 || confirmationTtl[2 * BOXES + b] > 0)
+#define IS_RECEIVING_UPDATES(b) (updateTtl[b] > 0 || updateTtl[BOXES + b] > 0 || updateTtl[2 * BOXES + b] > 0)
+#define IS_CONNECTED(b) (isReading[b] || IS_CONFIRMED(b))
+/* A box is only as up to date as its newest valid report: one from before the end of the grace period may lack an endpoint
+   that has been listed again since. */
+#define IS_CONFIRMED_WITHIN(b, rounds) \
+  (confirmationTtl[b] >= REPORT_TTL - (rounds) || confirmationTtl[BOXES + b] >= REPORT_TTL - (rounds) || \
+   confirmationTtl[2 * BOXES + b] >= REPORT_TTL - (rounds))
 #ifdef TAKE_OLD_WORD
-#define IS_CURRENT(b) VOUCHED(b)
+#define HAS_CURRENT_REPORT(b) IS_CONFIRMED(b)
 #else
-#define IS_CURRENT(b) (VOUCHED(b) && (settledFor[b] >= WORD_LIFE || NEWER(b, settledFor[b])))
+#define HAS_CURRENT_REPORT(b) \
+  (IS_CONFIRMED(b) && (roundsSinceGrace[b] >= REPORT_TTL || IS_CONFIRMED_WITHIN(b, roundsSinceGrace[b])))
 #endif
 #ifdef OWN_CALLS
-#define SETTLED(b) (reads[b] && doubt[b] == 0)
+#define MAY_REMOVE(b) (isReading[b] && gracePeriod[b] == 0)
 #else
-#define SETTLED(b) (doubt[b] == 0 && (reads[b] || IS_CURRENT(b)))
+#define MAY_REMOVE(b) (gracePeriod[b] == 0 && (isReading[b] || HAS_CURRENT_REPORT(b)))
 #endif
 #ifdef HEARSAY
-#define HAS_WORD(b) (reads[b] || VOUCHED(b))
+#define CAN_REPORT(b) (isReading[b] || IS_CONFIRMED(b))
 #else
-#define HAS_WORD(b) (reads[b] || TOLD(b))
+#define CAN_REPORT(b) (isReading[b] || IS_RECEIVING_UPDATES(b))
 #endif
 #ifdef LAPSED_AS_LISTED
-#define TELLS_LISTED(b) has[b]
+#define REPORTS_LISTED(b) hasEndpoint[b]
 #else
-#define TELLS_LISTED(b) (has[b] && !isLapsed[b])
+#define REPORTS_LISTED(b) (hasEndpoint[b] && !isLapsed[b])
 #endif
-/* Rounds for which the newest word that holds at a box goes on to hold. */
-#define NEWEST(counters, b) (counters[b] > counters[BOXES + b] -> (counters[b] > counters[2 * BOXES + b] -> counters[b] : counters[2 * BOXES + b]) : (counters[BOXES + b] > counters[2 * BOXES + b] -> counters[BOXES + b] : counters[2 * BOXES + b]))
+/* Rounds for which the newest valid report at box b remains valid. */
+#define MAX_TTL(ttls, b) \
+  (ttls[b] > ttls[BOXES + b] -> \
+    (ttls[b] > ttls[2 * BOXES + b] -> ttls[b] : ttls[2 * BOXES + b]) : \
+    (ttls[BOXES + b] > ttls[2 * BOXES + b] -> ttls[BOXES + b] : ttls[2 * BOXES + b]))
 #ifdef HEARSAY
-#define NEWEST_WORD(b) WORD_LIFE
+#define RELAYED_TTL(b) REPORT_TTL
 #else
-#define NEWEST_WORD(b) NEWEST(told, b)
+#define RELAYED_TTL(b) MAX_TTL(updateTtl, b)
 #endif
 #define SAME_HALL(a, b) ((a) < 2 && (b) < 2)
 
-inline noteReturn(b) {
+inline handleReconnect(b) {
 #ifndef NO_DOUBT
   if
-  :: !IN_TOUCH(b) -> doubt[b] = DOUBT; heard[b] = 0
+  :: !IS_CONNECTED(b) -> gracePeriod[b] = GRACE_PERIOD; informedRounds[b] = 0
   :: else
   fi
 #else
@@ -98,141 +108,141 @@
 #endif
 }
 
-inline learn(b, newRevision, listed) {
+inline applyList(b, newRevision, listed) {
   revision[b] = newRevision;
   if
-  :: listed -> has[b] = true; isLapsed[b] = false
-  :: !listed && has[b] && SETTLED(b) -> has[b] = false; isLapsed[b] = false
-  :: !listed && has[b] && !SETTLED(b) -> isLapsed[b] = true
-  :: !listed && !has[b]
+  :: listed -> hasEndpoint[b] = true; isLapsed[b] = false
+  :: !listed && hasEndpoint[b] && MAY_REMOVE(b) -> hasEndpoint[b] = false; isLapsed[b] = false
+  :: !listed && hasEndpoint[b] && !MAY_REMOVE(b) -> isLapsed[b] = true
+  :: !listed && !hasEndpoint[b]
   fi
 }
 
 inline readPlatform(b) {
   if
-  :: isUp && !isCut[b] ->
-     noteReturn(b);
+  :: isPlatformUp && !isCutOff[b] ->
+     handleReconnect(b);
      if
-     :: !reads[b] -> ownDoubt[b] = doubt[b]
+     :: !isReading[b] -> ownGracePeriod[b] = gracePeriod[b]
      :: else
      fi;
-     reads[b] = true;
-     hears[b] = true;
-     unreadFor = 0;
-     learn(b, published, isListed)
-  :: else -> reads[b] = false
+     isReading[b] = true;
+     isInformed[b] = true;
+     roundsSinceRead = 0;
+     applyList(b, published, isListed)
+  :: else -> isReading[b] = false
   fi
 }
 
-/* What box a says to box b, if it arrives. */
-inline say(a, b) {
+/* Sends a report from box a to box b, which may be lost. */
+inline sendReport(a, b) {
   if
-  :: true /* lost */
-  :: HAS_WORD(a) && (revision[a] <= revision[b] || SAME_HALL(a, b) || !reads[b]) ->
-     noteReturn(b);
+  :: true /* The report is lost. */
+  :: CAN_REPORT(a) && (revision[a] <= revision[b] || SAME_HALL(a, b) || !isReading[b]) ->
+     handleReconnect(b);
      if
-     :: reads[a] -> vouched[a * BOXES + b] = WORD_LIFE
-     :: else -> vouched[a * BOXES + b] = NEWEST_WORD(a)
+     :: isReading[a] -> confirmationTtl[a * BOXES + b] = REPORT_TTL
+     :: else -> confirmationTtl[a * BOXES + b] = RELAYED_TTL(a)
      fi;
      if
-     :: reads[a] && SAME_HALL(a, b) -> told[a * BOXES + b] = WORD_LIFE; toldDoubt[b] = ownDoubt[a]
+     :: isReading[a] && SAME_HALL(a, b) -> updateTtl[a * BOXES + b] = REPORT_TTL; reportedGracePeriod[b] = ownGracePeriod[a]
      :: else
      fi;
      if
-     :: reads[a] && ownDoubt[a] > doubt[b] -> doubt[b] = ownDoubt[a]
+     :: isReading[a] && ownGracePeriod[a] > gracePeriod[b] -> gracePeriod[b] = ownGracePeriod[a]
 #ifdef PASS_OWN_DOUBT
-     :: !reads[a] && doubt[a] > doubt[b] -> doubt[b] = doubt[a]
+     :: !isReading[a] && gracePeriod[a] > gracePeriod[b] -> gracePeriod[b] = gracePeriod[a]
 #else
-     :: !reads[a] && toldDoubt[a] > doubt[b] -> doubt[b] = toldDoubt[a]
+     :: !isReading[a] && reportedGracePeriod[a] > gracePeriod[b] -> gracePeriod[b] = reportedGracePeriod[a]
 #endif
      :: else
      fi;
-     hears[b] = true;
+     isInformed[b] = true;
      if
-     :: revision[a] > revision[b] -> learn(b, revision[a], TELLS_LISTED(a))
+     :: revision[a] > revision[b] -> applyList(b, revision[a], REPORTS_LISTED(a))
      :: else
      fi
-  :: !HAS_WORD(a) ->
-     vouched[a * BOXES + b] = 0;
-     told[a * BOXES + b] = 0;
+  :: !CAN_REPORT(a) ->
+     confirmationTtl[a * BOXES + b] = 0;
+     updateTtl[a * BOXES + b] = 0;
      if
-     :: revision[a] > revision[b] && !reads[b] -> learn(b, revision[a], TELLS_LISTED(a))
+     :: revision[a] > revision[b] && !isReading[b] -> applyList(b, revision[a], REPORTS_LISTED(a))
      :: else
      fi
   fi
 }
 
-inline age(counter) {
+inline countDown(counter) {
   if
   :: counter > 0 -> counter--
   :: else
   fi
 }
 
-inline changeWorld() {
+inline changeEnvironment() {
   if
-  :: isUp && !hadOutage -> isUp = false; hadOutage = true; downFor = 0
-  :: !isUp -> isUp = true; backFor = 0;
+  :: isPlatformUp && !hadOutage -> isPlatformUp = false; hadOutage = true; outageRounds = 0
+  :: !isPlatformUp -> isPlatformUp = true; roundsSinceReturn = 0;
      if
-     :: isListed && (!lives || downFor >= LEASE) -> isListed = false; published++
-     :: isListed && lives
+     :: isListed && (!isLive || outageRounds >= LEASE) -> isListed = false; published++
+     :: isListed && isLive
      :: !isListed
      fi
   :: true
   fi;
   if
-  :: lives && isUp && isListed -> lives = false; isListed = false; published++
-  :: lives && !isUp -> lives = false
+  :: isLive && isPlatformUp && isListed -> isLive = false; isListed = false; published++
+  :: isLive && !isPlatformUp -> isLive = false
   :: true
   fi;
   if
-  :: isUp && lives && !isListed -> isListed = true; published++
-  :: isUp && lives && !isListed && backFor < BACK_IN
+  :: isPlatformUp && isLive && !isListed -> isListed = true; published++
+  :: isPlatformUp && isLive && !isListed && roundsSinceReturn < RELIST_ROUNDS
   :: else
   fi;
   if
-  :: cuts < CUTS -> isCut[1] = !isCut[1]; cuts++
-  :: cuts < CUTS -> isCut[2] = !isCut[2]; cuts++
+  :: cutChanges < MAX_CUT_CHANGES -> isCutOff[1] = !isCutOff[1]; cutChanges++
+  :: cutChanges < MAX_CUT_CHANGES -> isCutOff[2] = !isCutOff[2]; cutChanges++
   :: true
   fi
 }
 
 inline finishRound(b) {
   if
-  :: isLapsed[b] && SETTLED(b) -> has[b] = false; isLapsed[b] = false
+  :: isLapsed[b] && MAY_REMOVE(b) -> hasEndpoint[b] = false; isLapsed[b] = false
   :: else
   fi;
-  assert(!lives || has[b]);
+  assert(!isLive || hasEndpoint[b]);
   if
-  :: !lives && hears[b] && isUp && heard[b] < HEARD_ENOUGH -> heard[b]++
-  :: !lives && hears[b] && isUp && heard[b] == HEARD_ENOUGH
-  :: else -> heard[b] = 0
+  :: !isLive && isInformed[b] && isPlatformUp && informedRounds[b] < REMOVAL_ROUNDS -> informedRounds[b]++
+  :: !isLive && isInformed[b] && isPlatformUp && informedRounds[b] == REMOVAL_ROUNDS
+  :: else -> informedRounds[b] = 0
   fi;
-  assert(heard[b] < HEARD_ENOUGH || !has[b]);
-  assert(!IN_TOUCH(b) || unreadFor <= NEWS_LIFE);
-  hears[b] = false;
+  assert(informedRounds[b] < REMOVAL_ROUNDS || !hasEndpoint[b]);
+  assert(!IS_CONNECTED(b) || roundsSinceRead <= MAX_ROUNDS_SINCE_READ);
+  isInformed[b] = false;
   if
-  :: doubt[b] > 0 -> doubt[b]--; settledFor[b] = 0
-  :: doubt[b] == 0 && settledFor[b] < WORD_LIFE -> settledFor[b]++
+  :: gracePeriod[b] > 0 -> gracePeriod[b]--; roundsSinceGrace[b] = 0
+  :: gracePeriod[b] == 0 && roundsSinceGrace[b] < REPORT_TTL -> roundsSinceGrace[b]++
   :: else
   fi;
-  age(ownDoubt[b]);
-  age(toldDoubt[b])
+  countDown(ownGracePeriod[b]);
+  countDown(reportedGracePeriod[b])
 }
 
-active proctype world() {
-  byte at;
+active proctype fleet() {
+  byte pair;
   do
   :: atomic {
-       changeWorld();
-       unreadFor = (unreadFor < NEWS_LIFE + 1 -> unreadFor + 1 : unreadFor);
+       changeEnvironment();
+       roundsSinceRead = (roundsSinceRead < MAX_ROUNDS_SINCE_READ + 1 -> roundsSinceRead + 1 : roundsSinceRead);
        readPlatform(0); readPlatform(1); readPlatform(2);
-       say(0, 1); say(0, 2); say(1, 0); say(1, 2); say(2, 0); say(2, 1);
+       sendReport(0, 1); sendReport(0, 2); sendReport(1, 0); sendReport(1, 2); sendReport(2, 0); sendReport(2, 1);
        finishRound(0); finishRound(1); finishRound(2);
-       for (at : 0 .. 8) { age(vouched[at]); age(told[at]) }
-       at = 0;
-       downFor = (!isUp && downFor < LEASE -> downFor + 1 : downFor);
-       backFor = (isUp && backFor <= BACK_IN -> backFor + 1 : backFor)
+       for (pair : 0 .. 8) { countDown(confirmationTtl[pair]); countDown(updateTtl[pair]) }
+       pair = 0;
+       outageRounds = (!isPlatformUp && outageRounds < LEASE -> outageRounds + 1 : outageRounds);
+       roundsSinceReturn = (isPlatformUp && roundsSinceReturn <= RELIST_ROUNDS -> roundsSinceReturn + 1 : roundsSinceReturn)
      }
   od
 }
--- a/spec/keys.pml
+++ b/spec/keys.pml
@@ -1,20 +1,20 @@
 /*
- * Ownership of timed keys: a call that may not be repeated runs at most once.
+ * Ownership of timed keys: a call that must not be repeated runs at most once.
  *
- * Two boxes of one hall, a published list that changes and is seen late, callers that ask for one key at both boxes
- * at any time, and at any point: a pause between judging and sending, a crash that loses the table and a start under
- * the same name, a planned stop that cedes the keys. Boxes have clocks that are off by up to EPS each; an error is
- * chosen once and kept.
+ * There are two boxes of one hall, a published list that changes and is read late, and callers that request one key at both
+ * boxes at any time. At any point a box may pause between decision and sending, crash with the loss of its table and start
+ * under the same name, or shut down gracefully and hand its keys over. The clock of each box is off by up to CLOCK_ERROR;
+ * the error is chosen once and kept.
  *
- * Time is discrete and bounded by TMAX. A reading shows the list as it was up to LAG ago, and a box judges only while
- * its last reading is at most LEASE old. The list names box 0 as the owner first and box 1 after a change (rendezvous
- * is a function of the list, so nothing else of it matters). The key's time is fixed at the start, so "the key is
- * younger than the ownership by the margin" is one bit, settled when an ownership begins.
+ * Time is discrete and ends at TMAX. A read returns the list as it was up to LAG ago, and a box admits requests only while
+ * its last read is at most LEASE old. The list names box 0 as the owner first and box 1 after a change. Rendezvous hashing
+ * is a function of the list, so that nothing else in the list matters. The time in the key is fixed at the start, so that
+ * "the key is newer than the ownership by the margin" is one bit, which is set when an ownership begins.
  *
- * Broken variants, each to be refuted: -DNO_MARGIN (a new owner runs any key), -DNO_TIME_RULE (keys may lie ahead of
- * the owner's clock), -DNO_LEASE (an owner does not confirm its list), -DNO_BOOT_RULE (a start under the same name is
- * not a take-over), -DLONG_CESSION (a cession holds without end), -DNO_GAP_RULE (a missed list in between does not end
- * an ownership), -DNO_CESSION_VERSION (a cession made by an older list holds).
+ * Broken variants, each of which must be refuted: -DNO_MARGIN (a new owner runs any key), -DNO_TIME_RULE (keys may be ahead
+ * of the clock of the owner), -DNO_LEASE (an owner acts on an unconfirmed list), -DNO_BOOT_RULE (a start under the same name
+ * does not begin a new ownership), -DLONG_CESSION (a handover never expires), -DNO_GAP_RULE (a missed list version does not
+ * end an ownership), -DNO_CESSION_VERSION (a handover made by an older list remains valid).
  */
 #ifndef TMAX
 #define TMAX 10
@@ -28,185 +28,190 @@
 #define LAG 1
 #define LEASE 1
 #define SKEW 1
-#define EPS 1
-#define MARGIN (LAG + LEASE + SKEW + 2 * EPS)
+#define CLOCK_ERROR 1
+#define MARGIN (LAG + LEASE + SKEW + 2 * CLOCK_ERROR)
 
-byte now;              /* true time */
-byte keyTime;          /* time in the key, by the caller's clock */
-byte runs;             /* how often the endpoint ran the call */
+byte trueTime;
+byte keyTime;           /* time in the key, by the clock of the caller */
+byte runs;              /* how often the endpoint ran the call */
 
-byte listOwner;        /* the published list: who owns the key */
-byte listBefore;       /* the owner before the last change, for late readers */
-byte lagLeft;          /* for how long a reading may still show that */
-byte changes;
-byte ends;             /* crashes and planned stops so far */
+byte listOwner;         /* owner of the key in the published list */
+byte previousListOwner; /* owner before the last change, returned by late reads */
+byte lagLeft;           /* for how long a read may still return that owner */
+byte changes;           /* number of the published list */
+byte ends;              /* crashes and graceful shutdowns so far */
 
 typedef Box {
-  bool up;
-  byte off;            /* clock error, 0 or 2 * EPS: errors of both signs are shifted to be positive */
-  byte version;        /* number of the newest list it has read */
-  byte newest;         /* the owner in that list */
-  byte view;           /* the owner it goes by */
-  byte leaseLeft;      /* for how long that reading may still be acted on */
-  bool owns;
-  bool young;          /* the key is younger than its ownership by the margin */
-  bool knows;          /* the key is in its table */
-  bool judged;         /* paused between judging and sending */
-  bool stopping;
-  byte ceded;          /* for how long the other box's cession still holds; 255: without end */
-  byte cededVersion;   /* number of the list by which the other box ceded */
-  bool cededYoung;     /* the key is younger than the ceding box's ownership by the margin */
+  bool isUp;
+  byte clockOffset;         /* clock error, 0 or 2 * CLOCK_ERROR: shifted so that errors of both signs are positive */
+  byte listVersion;         /* number of the newest list that the box has read */
+  byte newestOwner;         /* owner in that list */
+  byte currentOwner;        /* owner on which the box bases its decisions */
+  byte leaseLeft;           /* for how long the box may still admit requests by that read */
+  bool isOwner;
+  bool isKeyNewer;          /* the key is newer than the ownership of this box by the margin */
+  bool hasRecordedKey;      /* the key is in the table of this box */
+  bool isSendPending;       /* paused between decision and sending */
+  bool isStopping;
+  byte handoverLeft;        /* for how long the handover by the other box remains valid; 255: forever */
+  byte handoverVersion;     /* number of the list by which the other box handed over */
+  bool isHandoverKeyNewer;  /* the key is newer than the ownership of the other box by the margin */
 };
 Box box[2];
 
-/* Scratch of single steps, no part of the state. */
+/* Temporary variables of single steps, not part of the state. */
 hidden byte b;
 hidden byte mayRun;
-hidden byte version;
+hidden byte readVersion;
 
 #define other (1 - b)
 #ifdef NO_CESSION_VERSION
-#define CESSION_FITS true
+#define IS_HANDOVER_VERSION_CURRENT true
 #else
-#define CESSION_FITS (box[b].cededVersion == box[b].version)
+#define IS_HANDOVER_VERSION_CURRENT (box[b].handoverVersion == box[b].listVersion)
 #endif
-#define CLOCK (now + box[b].off)
+#define LOCAL_TIME (trueTime + box[b].clockOffset)
 
 inline beginOwnership() {
   if
-  :: !box[b].owns ->
-     box[b].owns = true;
+  :: !box[b].isOwner ->
+     box[b].isOwner = true;
 #ifdef NO_MARGIN
-     box[b].young = true
+     box[b].isKeyNewer = true
 #else
-     box[b].young = keyTime > CLOCK + MARGIN
+     box[b].isKeyNewer = keyTime > LOCAL_TIME + MARGIN
 #endif
   :: else
   fi
 }
 
-/* A reading: the list as it is, or as it was before a change that is less than LAG old. */
+/* Reads the list as it is, or as it was before a change that is less than LAG old. */
 inline readList() {
   if
-  :: box[b].view = listOwner; version = changes
-  :: lagLeft > 0 -> box[b].view = listBefore; version = changes - 1
+  :: box[b].currentOwner = listOwner; readVersion = changes
+  :: lagLeft > 0 -> box[b].currentOwner = previousListOwner; readVersion = changes - 1
   fi;
 #ifndef NO_GAP_RULE
-  /* A list in between was missed: another box may have owned the key meanwhile. */
+  /* A list version was missed: another box may have owned the key in between. */
   if
-  :: version > box[b].version + 1 -> box[b].owns = false
+  :: readVersion > box[b].listVersion + 1 -> box[b].isOwner = false
   :: else
   fi;
 #endif
   if
-  :: version > box[b].version -> box[b].version = version
-  :: version < box[b].version -> box[b].view = box[b].newest /* an older list is ignored and confirms nothing */
+  :: readVersion > box[b].listVersion -> box[b].listVersion = readVersion
+  /* An older list is ignored and confirms nothing. */
+  :: readVersion < box[b].listVersion -> box[b].currentOwner = box[b].newestOwner
   :: else
   fi;
   if
-  :: version == box[b].version -> box[b].leaseLeft = LEASE + 1; box[b].newest = box[b].view
+  :: readVersion == box[b].listVersion -> box[b].leaseLeft = LEASE + 1; box[b].newestOwner = box[b].currentOwner
   :: else
   fi;
   if
-  :: box[b].view == b -> beginOwnership()
-  :: else -> box[b].owns = false; box[b].young = false
+  :: box[b].currentOwner == b -> beginOwnership()
+  :: else -> box[b].isOwner = false; box[b].isKeyNewer = false
   fi
 }
 
-inline judge() {
-  mayRun = (box[b].view == b && box[b].young) || (box[b].view != b && box[b].ceded > 0 && box[b].cededYoung && CESSION_FITS);
+inline decideAdmission() {
+  mayRun = (box[b].currentOwner == b && box[b].isKeyNewer) ||
+    (box[b].currentOwner != b && box[b].handoverLeft > 0 && box[b].isHandoverKeyNewer && IS_HANDOVER_VERSION_CURRENT);
 #ifndef NO_LEASE
   mayRun = mayRun && box[b].leaseLeft > 0;
 #endif
 #ifndef NO_TIME_RULE
-  mayRun = mayRun && keyTime <= CLOCK + SKEW;
+  mayRun = mayRun && keyTime <= LOCAL_TIME + SKEW;
 #endif
   if
-  :: mayRun -> box[b].knows = true; box[b].judged = true
+  :: mayRun -> box[b].hasRecordedKey = true; box[b].isSendPending = true
   :: else
   fi
 }
 
-inline forget() {
-  box[b].up = false; box[b].view = 0; box[b].version = 0; box[b].newest = 0; box[b].leaseLeft = 0; box[b].owns = false; box[b].young = false;
-  box[b].knows = false; box[b].judged = false; box[b].stopping = false; box[b].ceded = 0; box[b].cededYoung = false;
-  box[b].cededVersion = 0;
+inline stopProcess() {
+  box[b].isUp = false; box[b].currentOwner = 0; box[b].listVersion = 0; box[b].newestOwner = 0;
+  box[b].leaseLeft = 0; box[b].isOwner = false; box[b].isKeyNewer = false;
+  box[b].hasRecordedKey = false; box[b].isSendPending = false; box[b].isStopping = false;
+  box[b].handoverLeft = 0; box[b].isHandoverKeyNewer = false; box[b].handoverVersion = 0;
   ends++
 }
 
-inline pass(left) {
+inline countDown(remaining) {
   if
-  :: left > 0 && left < 255 -> left--
+  :: remaining > 0 && remaining < 255 -> remaining--
   :: else
   fi
 }
 
-active proctype Fleet() {
+active proctype fleet() {
   atomic {
-    box[0].up = true; box[1].up = true;
+    box[0].isUp = true; box[1].isUp = true;
     if
-    :: box[0].off = 2 * EPS
-    :: box[1].off = 2 * EPS
+    :: box[0].clockOffset = 2 * CLOCK_ERROR
+    :: box[1].clockOffset = 2 * CLOCK_ERROR
     fi;
-    select(keyTime : 0 .. TMAX + SKEW + 2 * EPS);
-    /* The first owner has owned the key since long before. */
-    box[0].owns = true; box[0].young = true; box[0].leaseLeft = LEASE + 1
+    select(keyTime : 0 .. TMAX + SKEW + 2 * CLOCK_ERROR);
+    /* The first owner has owned the key for long enough. */
+    box[0].isOwner = true; box[0].isKeyNewer = true; box[0].leaseLeft = LEASE + 1
   }
 loop:
   do
-  :: now < TMAX ->
+  :: trueTime < TMAX ->
      atomic {
-       now++;
-       pass(lagLeft); pass(box[0].leaseLeft); pass(box[1].leaseLeft); pass(box[0].ceded); pass(box[1].ceded)
+       trueTime++;
+       countDown(lagLeft);
+       countDown(box[0].leaseLeft); countDown(box[1].leaseLeft);
+       countDown(box[0].handoverLeft); countDown(box[1].handoverLeft)
      }
-  :: changes < MAX_CHANGES && now < TMAX && lagLeft == 0 ->
-     atomic { listBefore = listOwner; listOwner = 1 - listOwner; lagLeft = LAG; changes++ }
-  :: atomic { (box[0].up) -> b = 0; readList() }
-  :: atomic { (box[1].up) -> b = 1; readList() }
-  /* An ask, at either box. */
-  :: atomic { (box[0].up && !box[0].knows && !box[0].stopping) -> b = 0; judge() }
-  :: atomic { (box[1].up && !box[1].knows && !box[1].stopping) -> b = 1; judge() }
-  /* The pause between judging and sending ends, however late. */
-  :: atomic { (box[0].judged) -> box[0].judged = false; runs++; assert(runs <= 1) }
-  :: atomic { (box[1].judged) -> box[1].judged = false; runs++; assert(runs <= 1) }
+  :: changes < MAX_CHANGES && trueTime < TMAX && lagLeft == 0 ->
+     atomic { previousListOwner = listOwner; listOwner = 1 - listOwner; lagLeft = LAG; changes++ }
+  :: atomic { (box[0].isUp) -> b = 0; readList() }
+  :: atomic { (box[1].isUp) -> b = 1; readList() }
+  /* A request with the key, at either box. */
+  :: atomic { (box[0].isUp && !box[0].hasRecordedKey && !box[0].isStopping) -> b = 0; decideAdmission() }
+  :: atomic { (box[1].isUp && !box[1].hasRecordedKey && !box[1].isStopping) -> b = 1; decideAdmission() }
+  /* The pause between decision and sending ends, however late. */
+  :: atomic { (box[0].isSendPending) -> box[0].isSendPending = false; runs++; assert(runs <= 1) }
+  :: atomic { (box[1].isSendPending) -> box[1].isSendPending = false; runs++; assert(runs <= 1) }
   /* A crash loses the table. */
-  :: atomic { (box[0].up && ends < MAX_ENDS) -> b = 0; forget() }
-  :: atomic { (box[1].up && ends < MAX_ENDS) -> b = 1; forget() }
-  /* A start under the same name is a take-over like any other. */
-  :: atomic { (!box[0].up) -> b = 0; box[b].up = true; readList(); goto started }
-  :: atomic { (!box[1].up) -> b = 1; box[b].up = true; readList(); goto started }
-  /* A planned stop: nothing new is judged, what is in hand is sent, then the keys are ceded. */
-  :: atomic { (box[0].up && !box[0].stopping && ends < MAX_ENDS) -> box[0].stopping = true }
-  :: atomic { (box[1].up && !box[1].stopping && ends < MAX_ENDS) -> box[1].stopping = true }
-  :: atomic { (box[0].stopping && !box[0].judged && ends < MAX_ENDS) -> b = 0; goto cede }
-  :: atomic { (box[1].stopping && !box[1].judged && ends < MAX_ENDS) -> b = 1; goto cede }
-  :: now == TMAX -> break
+  :: atomic { (box[0].isUp && ends < MAX_ENDS) -> b = 0; stopProcess() }
+  :: atomic { (box[1].isUp && ends < MAX_ENDS) -> b = 1; stopProcess() }
+  /* A start under the same name begins a new ownership like any other change of owner. */
+  :: atomic { (!box[0].isUp) -> b = 0; box[b].isUp = true; readList(); goto started }
+  :: atomic { (!box[1].isUp) -> b = 1; box[b].isUp = true; readList(); goto started }
+  /* A graceful shutdown: no new requests are admitted, pending ones are sent, then the keys are handed over. */
+  :: atomic { (box[0].isUp && !box[0].isStopping && ends < MAX_ENDS) -> box[0].isStopping = true }
+  :: atomic { (box[1].isUp && !box[1].isStopping && ends < MAX_ENDS) -> box[1].isStopping = true }
+  :: atomic { (box[0].isStopping && !box[0].isSendPending && ends < MAX_ENDS) -> b = 0; goto handOver }
+  :: atomic { (box[1].isStopping && !box[1].isSendPending && ends < MAX_ENDS) -> b = 1; goto handOver }
+  :: trueTime == TMAX -> break
   od;
   goto done;
 
 started:
   atomic {
 #ifdef NO_BOOT_RULE
-    box[b].young = box[b].owns;
+    box[b].isKeyNewer = box[b].isOwner;
 #endif
     goto loop
   }
 
-cede: /* the cession arrives with the table, or is lost */
+handOver: /* The handover arrives together with the table, or is lost. */
   atomic {
     if
-    :: box[b].owns && box[other].up ->
+    :: box[b].isOwner && box[other].isUp ->
 #ifdef LONG_CESSION
-       box[other].ceded = 255;
+       box[other].handoverLeft = 255;
 #else
-       box[other].ceded = LAG + LEASE;
+       box[other].handoverLeft = LAG + LEASE;
 #endif
-       box[other].cededYoung = box[b].young;
-       box[other].cededVersion = box[b].version;
-       box[other].knows = box[other].knows || box[b].knows
+       box[other].isHandoverKeyNewer = box[b].isKeyNewer;
+       box[other].handoverVersion = box[b].listVersion;
+       box[other].hasRecordedKey = box[other].hasRecordedKey || box[b].hasRecordedKey
     :: true
     fi;
-    forget();
+    stopProcess();
     goto loop
   }
 
--- a/spec/membership.pml
+++ b/spec/membership.pml
@@ -1,144 +1,145 @@
 /*
- * Who counts as down, while accusations and objections cross each other on their way.
+ * Failure detection in a hall: which boxes count as down while down reports and refutations cross in transit.
  *
- * One box, the accused, may lose its links one way or both, end, and start again; its clock may have stepped back, so the
- * number of its new life may be any. Two watchers of its hall may find that it gives no sign of life, as often as the model
- * allows, and tell each other. All three speak on links that keep their order; what a box without power is told is lost.
- * In the end all links work and the accused runs: it sends heartbeats until nobody objects any more.
+ * One box, the suspect, may lose its links in one or both directions, end and restart. Its clock may have been set back, so
+ * that a new incarnation may have any number. Two monitors in its hall may find at any time that it does not respond, as
+ * often as the model allows, and report this to each other. All three send on links that preserve order; messages to a box
+ * that is not running are lost. Finally all links work and the suspect runs: it sends heartbeats until no
+ * monitor responds with a down report.
  *
- * To hold: a watcher never holds the accused for down by news of an earlier life than the newest that it knows of; and in
- * the end both watchers count it as up.
+ * Properties: a monitor never counts the suspect as down because of a report about an incarnation older than the newest one
+ * that it knows; and finally both monitors count the suspect as up.
  *
- * Broken variants, each to be refuted: -DTAKE_OLD_NEWS (an accusation is believed whatever life it is about),
- * -DNO_OBJECTION (the accused does not begin a new life when it hears that it is down), -DNO_ANSWER (a watcher does not
- * tell a box that it holds it for down when that box sends a heartbeat).
+ * Broken variants, each of which must be refuted: -DTAKE_OLD_NEWS (a down report is applied whichever incarnation it is about),
+ * -DNO_OBJECTION (the suspect does not begin a new incarnation when it receives a report that it is down), -DNO_ANSWER (a
+ * monitor does not respond to a heartbeat of a box that it counts as down with a down report).
  */
-#define WATCHERS 2
-#define MAX_LIFE 6
-#define ACCUSATIONS 2
-#define RESTARTS 1
+#define MONITORS 2
+#define MAX_INCARNATION 6
+#define MAX_DOWN_REPORTS 2
+#define MAX_RESTARTS 1
 
-byte life = 1;                 /* number of the accused box's life */
-byte accusations = 0;
+byte incarnation = 1;          /* incarnation of the suspect */
+byte downReports = 0;          /* down reports created by the monitors so far */
 byte restarts = 0;
-bool isCalm = false;           /* nothing fails from here on */
-bool isRunning = true;
+bool isStable = false;         /* no further failures occur */
+bool isRunning = true;         /* whether the suspect runs */
 
-byte known[WATCHERS] = 1;      /* newest life of the accused that a watcher knows of */
-byte downAt[WATCHERS] = 0;     /* life in which a watcher holds it for down; 0 for none */
+byte knownIncarnation[MONITORS] = 1;   /* newest incarnation of the suspect known to each monitor */
+byte downIncarnation[MONITORS] = 0;    /* incarnation that each monitor counts as down; 0 for none */
 
-chan toWatcher0 = [3] of { byte };     /* heartbeats: the life */
-chan toWatcher1 = [3] of { byte };
-chan toAccused = [4] of { byte };      /* accusations: the life they are about */
-chan between0 = [2] of { byte };       /* accusations told to watcher 0 */
-chan between1 = [2] of { byte };
+chan toMonitor0 = [3] of { byte };     /* heartbeats, by incarnation */
+chan toMonitor1 = [3] of { byte };
+chan toSuspect = [4] of { byte };      /* down reports, by the incarnation they are about */
+chan reportsTo0 = [2] of { byte };     /* down reports from one monitor to the other */
+chan reportsTo1 = [2] of { byte };
 
-inline tell(channel, value) {
+inline send(channel, value) {
   if
   :: nfull(channel) -> channel!value
   :: full(channel)
   fi
 }
 
-/* The accused tells both watchers of its life. */
+/* The suspect sends its incarnation to both monitors. */
 inline sendHeartbeats() {
-  tell(toWatcher0, life);
-  tell(toWatcher1, life)
+  send(toMonitor0, incarnation);
+  send(toMonitor1, incarnation)
 }
 
-inline hearSign(w, sign) {
+inline handleHeartbeat(monitor, received) {
   if
-  :: sign > known[w] -> known[w] = sign
+  :: received > knownIncarnation[monitor] -> knownIncarnation[monitor] = received
   :: else
   fi;
   if
-  :: downAt[w] != 0 && sign > downAt[w] -> downAt[w] = 0
+  :: downIncarnation[monitor] != 0 && received > downIncarnation[monitor] -> downIncarnation[monitor] = 0
   :: else
   fi;
 #ifndef NO_ANSWER
   if
-  :: downAt[w] != 0 -> tell(toAccused, downAt[w])
+  :: downIncarnation[monitor] != 0 -> send(toSuspect, downIncarnation[monitor])
   :: else
   fi
 #endif
 }
 
-inline hearAccusation(w, about) {
+inline handleDownReport(monitor, reported) {
   if
 #ifdef TAKE_OLD_NEWS
-  :: true -> downAt[w] = about
+  :: true -> downIncarnation[monitor] = reported
 #else
-  :: about >= known[w] ->
+  :: reported >= knownIncarnation[monitor] ->
     if
-    :: about > downAt[w] -> downAt[w] = about
+    :: reported > downIncarnation[monitor] -> downIncarnation[monitor] = reported
     :: else
     fi
   :: else
 #endif
   fi;
-  assert(downAt[w] == 0 || downAt[w] >= known[w])
+  assert(downIncarnation[monitor] == 0 || downIncarnation[monitor] >= knownIncarnation[monitor])
 }
 
-inline accuse(w, other) {
-  downAt[w] = known[w];
-  tell(other, known[w]);
-  tell(toAccused, known[w])
+inline reportDown(monitor, reportChannel) {
+  downIncarnation[monitor] = knownIncarnation[monitor];
+  send(reportChannel, knownIncarnation[monitor]);
+  send(toSuspect, knownIncarnation[monitor])
 }
 
 active proctype hall() {
-  byte sign;
-  byte round;
+  byte received;
+  byte heartbeatRounds;
   do
-  /* Trouble. */
-  :: !isCalm && accusations < ACCUSATIONS && downAt[0] == 0 ->
-    atomic { accusations++; accuse(0, between1) }
-  :: !isCalm && accusations < ACCUSATIONS && downAt[1] == 0 ->
-    atomic { accusations++; accuse(1, between0) }
-  :: !isCalm && isRunning && restarts < RESTARTS ->
+  /* Failures and down reports. */
+  :: !isStable && downReports < MAX_DOWN_REPORTS && downIncarnation[0] == 0 ->
+    atomic { downReports++; reportDown(0, reportsTo1) }
+  :: !isStable && downReports < MAX_DOWN_REPORTS && downIncarnation[1] == 0 ->
+    atomic { downReports++; reportDown(1, reportsTo0) }
+  :: !isStable && isRunning && restarts < MAX_RESTARTS ->
     atomic {
       restarts++;
       isRunning = false;
-      /* What was under way to it is gone; what it sent may still arrive. */
+      /* Messages in transit to the suspect are lost; messages that it sent may still arrive. */
       do
-      :: toAccused?sign
-      :: empty(toAccused) -> break
+      :: toSuspect?received
+      :: empty(toSuspect) -> break
       od
     }
-  :: !isCalm && !isRunning ->
+  :: !isStable && !isRunning ->
     atomic {
       isRunning = true;
-      /* Its clock may have stepped back. */
+      /* The clock of the suspect may have been set back. */
       if
-      :: life = 1
-      :: life < MAX_LIFE -> life++
+      :: incarnation = 1
+      :: incarnation < MAX_INCARNATION -> incarnation++
       fi;
       sendHeartbeats()
     }
-  :: !isCalm && isRunning -> isCalm = true
+  :: !isStable && isRunning -> isStable = true
 
-  /* Links carry what was sent. */
-  :: atomic { nempty(toWatcher0) -> toWatcher0?sign; hearSign(0, sign) }
-  :: atomic { nempty(toWatcher1) -> toWatcher1?sign; hearSign(1, sign) }
-  :: atomic { nempty(between0) -> between0?sign; hearAccusation(0, sign) }
-  :: atomic { nempty(between1) -> between1?sign; hearAccusation(1, sign) }
+  /* Links deliver messages. */
+  :: atomic { nempty(toMonitor0) -> toMonitor0?received; handleHeartbeat(0, received) }
+  :: atomic { nempty(toMonitor1) -> toMonitor1?received; handleHeartbeat(1, received) }
+  :: atomic { nempty(reportsTo0) -> reportsTo0?received; handleDownReport(0, received) }
+  :: atomic { nempty(reportsTo1) -> reportsTo1?received; handleDownReport(1, received) }
   :: atomic {
-      isRunning && nempty(toAccused) -> toAccused?sign;
+      isRunning && nempty(toSuspect) -> toSuspect?received;
 #ifndef NO_OBJECTION
       if
-      :: sign >= life && sign < MAX_LIFE -> life = sign + 1; sendHeartbeats()
+      :: received >= incarnation && received < MAX_INCARNATION -> incarnation = received + 1; sendHeartbeats()
       :: else
       fi
 #endif
     }
 
-  /* In peace a heartbeat goes out whenever nothing else is under way: a few of them settle everything. */
+  /* Without failures, a heartbeat is sent whenever no other message is in transit; a few rounds settle all boxes. */
   :: atomic {
-      isCalm && empty(toWatcher0) && empty(toWatcher1) && empty(between0) && empty(between1) && empty(toAccused) ->
+      isStable && empty(toMonitor0) && empty(toMonitor1) && empty(reportsTo0) && empty(reportsTo1) && empty(toSuspect) ->
       if
-      :: round < 3 -> round++; sendHeartbeats()
+      :: heartbeatRounds < 3 -> heartbeatRounds++; sendHeartbeats()
       :: else -> break
       fi
     }
   od;
-  assert(downAt[0] == 0 && downAt[1] == 0)
+  assert(downIncarnation[0] == 0 && downIncarnation[1] == 0)
 }
