--- a/scripts/check-models.sh
+++ b/scripts/check-models.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks every specification under spec/ with spin: each must hold as it stands, and each broken variant that its
-# header names must be refuted. Installs the checker where it is missing.
+# Checks every model under spec/ with spin: the model must have no error, and spin must find an error in each broken variant
+# that is listed in the header of the model. Installs spin and gcc if spin is missing.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -9,12 +9,12 @@
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# Explores a specification exhaustively; prints the number of states and whether an error was found.
+# Explores a model exhaustively; prints the number of errors and of stored states, or "incomplete".
 explore() {
-  local spec=$1 flags=$2
+  local model=$1 flags=$2
   local dir
   dir=$(mktemp -d "$work/XXXX")
-  cp "$spec" "$dir/model.pml"
+  cp "$model" "$dir/model.pml"
   (
     cd "$dir"
     # shellcheck disable=SC2086
@@ -30,23 +30,25 @@
 
 failed=0
 passed=0
-judge() {
-  local name=$1 wanted=$2 result=$3
+# Compares the result of an exploration with the expected number of errors.
+check_result() {
+  local name=$1 expected=$2 result=$3
   local errors=${result%% *}
-  if [ "$errors" = "$wanted" ]; then
+  if [ "$errors" = "$expected" ]; then
     passed=$((passed + 1))
     echo "  ok    $name (states ${result##* })"
   else
     failed=$((failed + 1))
-    echo "  WRONG $name: wanted errors $wanted, got $result"
+    echo "  FAIL  $name: expected $expected errors, got \"$result\" (errors, states)"
   fi
 }
 
-for spec in spec/*.pml; do
-  echo "$spec"
-  judge "holds as it stands" 0 "$(explore "$spec" "")"
-  for variant in $(grep -oE -- '-D[A-Z_]+ \(' "$spec" | grep -oE '[A-Z_]{2,}' | sed 's/^D//'); do
-    judge "refuted without the rule: $variant" 1 "$(explore "$spec" "-D$variant")"
+for model in spec/*.pml; do
+  echo "$model"
+  check_result "unmodified model holds" 0 "$(explore "$model" "")"
+  # A variant is listed in the header as `-DNAME (what is broken)`, both on one line.
+  for variant in $(grep -oE -- '-D[A-Z_]+ \(' "$model" | grep -oE '[A-Z_]{2,}' | sed 's/^D//'); do
+    check_result "variant refuted: $variant" 1 "$(explore "$model" "-D$variant")"
   done
 done
 echo "model checks: $passed passed, $failed failed"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs, builds and runs the demonstration: a user's deployment on loopback. Takes --deployment lavanda|granja.
+# Installs dependencies, builds, and runs the demo: an example deployment on loopback, chosen with
+# `--deployment lavanda|granja`.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 [ -d node_modules/most ] || npm ci --no-audit --no-fund
