--- a/packages/measure/src/processMeasure.ts
+++ b/packages/measure/src/processMeasure.ts
@@ -140,7 +140,7 @@
     (_, index) => deployment.engines[index % deployment.engines.length]?.address ?? '',
   );
   const started = await Promise.all(targets.map(startPassThrough));
-  const addresses = started.map((process) => process.announced.address);
+  const addresses = started.map((process) => process.startupInfo.address);
   const readCpu = async (): Promise<number> => {
     const all = await Promise.all(addresses.map(readPassThroughCpu));
     return all.reduce((sum, cpuMs) => sum + cpuMs, 0);
--- a/packages/soak/src/site.ts
+++ b/packages/soak/src/site.ts
@@ -128,7 +128,7 @@
       (line) => (JSON.parse(line) as { listening?: number }).listening,
       { onLine: (line) => this.noteEndpointLine(id, line) },
     );
-    const link = new LinkProxy(process.announced);
+    const link = new LinkProxy(process.startupInfo);
     const address = `127.0.0.1:${await link.listen()}`;
     const endpoint: SoakEndpoint = {
       id,
--- a/packages/standins/src/childProcess.ts
+++ b/packages/standins/src/childProcess.ts
@@ -1,57 +1,62 @@
-/** Processes that the launcher starts, and only those: each is ended by its own handle. */
+/** Starts and ends child processes. Each process is ended through its own handle, so that no other process is affected. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { createInterface } from 'node:readline';
 
-/** A started process and the first line that said where it listens. */
+/** A started process and what was parsed from its startup line. */
 export interface StartedProcess<T> {
   readonly child: ChildProcess;
-  readonly announced: T;
-  /** Lines it printed since. */
-  readonly lines: string[];
+  /** Parsed from the first line that `parseStartupLine` recognised, such as the listening address. */
+  readonly startupInfo: T;
+  /** Lines of standard output and standard error so far; grows while the process runs. */
+  readonly outputLines: string[];
 }
 
-const running = new Set<ChildProcess>();
+const childProcesses = new Set<ChildProcess>();
 
-/** A launcher that ends, however it ends, takes its processes with it. */
-function endAllAtExit(): void {
-  process.on('exit', () => running.forEach((child) => child.kill('SIGKILL')));
+/** Kills all child processes when this process exits, also after SIGINT or SIGTERM. */
+function killAllOnExit(): void {
+  process.on('exit', () => childProcesses.forEach((child) => child.kill('SIGKILL')));
   for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => process.exit(1));
 }
 
-function track(child: ChildProcess): void {
-  if (running.size === 0 && process.listenerCount('SIGTERM') === 0) endAllAtExit();
-  running.add(child);
-  child.once('exit', () => running.delete(child));
+function trackUntilExit(child: ChildProcess): void {
+  if (childProcesses.size === 0 && process.listenerCount('SIGTERM') === 0) killAllOnExit();
+  childProcesses.add(child);
+  child.once('exit', () => childProcesses.delete(child));
 }
 
-/** Starts a Node program and waits until `read` recognises a line of its output. */
+/** Starts a Node program and waits until `parseStartupLine` recognises a line of its standard output. */
 export function startProcess<T>(
   args: readonly string[],
-  read: (line: string) => T | undefined,
+  parseStartupLine: (line: string) => T | undefined,
   options: { readonly env?: NodeJS.ProcessEnv; readonly onLine?: (line: string) => void } = {},
 ): Promise<StartedProcess<T>> {
   const child = spawn(process.execPath, args, {
     stdio: ['ignore', 'pipe', 'pipe'],
     env: { ...process.env, ...options.env },
   });
-  track(child);
-  const lines: string[] = [];
+  trackUntilExit(child);
+  const outputLines: string[] = [];
   return new Promise((resolve, reject) => {
     child.once('exit', (code) =>
-      reject(new Error(`${args.join(' ')} ended with ${code}: ${lines.join('\n')}`)),
+      reject(
+        new Error(
+          `${args.join(' ')} exited with code ${code} before it was ready: ${outputLines.join('\n')}`,
+        ),
+      ),
     );
-    createInterface({ input: child.stderr }).on('line', (line) => lines.push(line));
+    createInterface({ input: child.stderr }).on('line', (line) => outputLines.push(line));
     createInterface({ input: child.stdout }).on('line', (line) => {
-      lines.push(line);
+      outputLines.push(line);
       options.onLine?.(line);
-      const announced = read(line);
-      if (announced !== undefined) resolve({ child, announced, lines });
+      const startupInfo = parseStartupLine(line);
+      if (startupInfo !== undefined) resolve({ child, startupInfo, outputLines });
     });
   });
 }
 
-/** Sends a signal and waits for the end. Resolves with the exit code; null after a signal. */
+/** Sends a signal and waits for the process to exit. Resolves with the exit code, or null if a signal ended the process. */
 export function endProcess(child: ChildProcess, signal: NodeJS.Signals): Promise<number | null> {
   if (child.exitCode !== null || child.signalCode !== null) return Promise.resolve(child.exitCode);
   return new Promise((resolve) => {
--- a/packages/standins/src/demo.ts
+++ b/packages/standins/src/demo.ts
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
-/** The demonstration: a user's deployment, small, with some hundreds of returning chats and bookings. */
+/** Demo: starts a user's deployment and sends a few hundred requests of returning chats and bookings through it. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
-import type { Deployment, EndpointHandle } from './deployment.js';
-import { Deployment as Launcher, DEPLOYMENTS } from './deployment.js';
+import type { EndpointHandle } from './deployment.js';
+import { Deployment, DEPLOYMENTS } from './deployment.js';
 
 const CHATS = 60;
 const TURNS = 5;
@@ -15,7 +15,7 @@
   granja: ['montevideo', 'salto', 'rocha'],
 } as const;
 
-interface Tally {
+interface DemoCounts {
   chats: number;
   bookings: number;
   failed: number;
@@ -33,14 +33,14 @@
 
 async function runChat(
   deployment: Deployment,
-  tally: Tally,
+  tally: DemoCounts,
   teams: readonly string[],
   chat: number,
 ): Promise<void> {
   const messages: { role: string; content: string }[] = [];
   for (let turn = 0; turn < TURNS; turn += 1) {
     messages.push({ role: 'user', content: `question ${turn} of chat ${chat}` });
-    // The balancer sends every turn to any box.
+    // The load balancer in front of the boxes has no affinity: each turn may enter at another box.
     const box = pickBox(deployment, chat * 7 + turn * 3);
     const response = await fetch(`http://${box}/v1/chat/completions`, {
       method: 'POST',
@@ -48,15 +48,20 @@
       body: JSON.stringify({ model: deployment.spec.model, stream: true, messages }),
     });
     const text = await response.text();
-    const isWhole = response.status === 200 && text.endsWith('data: [DONE]\n\n');
-    if (isWhole) tally.chats += 1;
+    const isComplete = response.status === 200 && text.endsWith('data: [DONE]\n\n');
+    if (isComplete) tally.chats += 1;
     else tally.failed += 1;
     messages.push({ role: 'assistant', content: 'answer' });
     showProgress(tally);
   }
 }
 
-async function runBooking(deployment: Deployment, tally: Tally, team: string, index: number): Promise<void> {
+async function runBooking(
+  deployment: Deployment,
+  tally: DemoCounts,
+  team: string,
+  index: number,
+): Promise<void> {
   const service = deployment.spec.workerServices[0] ?? '';
   const response = await fetch(`http://${pickBox(deployment, index)}/services/${service}/orders`, {
     method: 'POST',
@@ -69,32 +74,32 @@
   showProgress(tally);
 }
 
-function showProgress(tally: Tally): void {
+function showProgress(tally: DemoCounts): void {
   const done = tally.chats + tally.bookings + tally.failed;
   const total = CHATS * TURNS + BOOKINGS;
   if (done % PROGRESS_STEP === 0) process.stdout.write(`  ${done} of ${total} requests answered\n`);
 }
 
-/** Runs jobs with a few at a time. */
+/** Runs jobs, at most `CONCURRENCY` at a time. */
 async function runAll(jobs: readonly (() => Promise<void>)[]): Promise<void> {
-  const waiting = [...jobs];
-  const work = async (): Promise<void> => {
-    for (let job = waiting.shift(); job !== undefined; job = waiting.shift()) await job();
+  const queue = [...jobs];
+  const runJobs = async (): Promise<void> => {
+    for (let job = queue.shift(); job !== undefined; job = queue.shift()) await job();
   };
-  await Promise.all(Array.from({ length: CONCURRENCY }, work));
+  await Promise.all(Array.from({ length: CONCURRENCY }, runJobs));
 }
 
-async function readEngine(engine: EndpointHandle): Promise<EngineStats> {
+async function readEngineStats(engine: EndpointHandle): Promise<EngineStats> {
   return (await (await fetch(`http://${engine.address}/standin/stats`)).json()) as EngineStats;
 }
 
-async function report(deployment: Deployment, tally: Tally): Promise<void> {
-  const engines = await Promise.all(deployment.engines.map(readEngine));
+async function printSummary(deployment: Deployment, tally: DemoCounts): Promise<void> {
+  const engines = await Promise.all(deployment.engines.map(readEngineStats));
   const runs = engines.map((engine) => engine.runs);
   const mean = runs.reduce((sum, value) => sum + value, 0) / runs.length;
   const warm = engines.reduce((sum, engine) => sum + engine.warm, 0);
   const returning = engines.reduce((sum, engine) => sum + engine.returning, 0);
-  const statuses = await Promise.all(deployment.boxes.map((box) => deployment.readStatus<BoxReport>(box)));
+  const statuses = await Promise.all(deployment.boxes.map((box) => deployment.readStatus<BoxStatus>(box)));
   const bytesPerSecond = statuses.map(
     ({ bytes, uptimeMs }) => ((bytes.control + bytes.platformAndReports) * 1_000) / uptimeMs,
   );
@@ -112,7 +117,7 @@
   );
 }
 
-interface BoxReport {
+interface BoxStatus {
   readonly bytes: { readonly control: number; readonly platformAndReports: number };
   readonly uptimeMs: number;
 }
@@ -126,8 +131,8 @@
   process.stdout.write(
     `starting ${spec.boxCount} boxes, ${spec.engineCount} engines and ${spec.workerCount} workers in ${spec.halls.length} halls\n`,
   );
-  const deployment = await Launcher.start(spec);
-  const tally: Tally = { chats: 0, bookings: 0, failed: 0 };
+  const deployment = await Deployment.start(spec);
+  const tally: DemoCounts = { chats: 0, bookings: 0, failed: 0 };
   try {
     const teams = TEAMS[name];
     const chats = Array.from({ length: CHATS }, (_, chat) => () => runChat(deployment, tally, teams, chat));
@@ -136,7 +141,7 @@
       (_, index) => () => runBooking(deployment, tally, teams[0], index),
     );
     await runAll([...chats, ...bookings]);
-    await report(deployment, tally);
+    await printSummary(deployment, tally);
   } finally {
     await deployment.stop();
   }
--- a/packages/standins/src/deployment.ts
+++ b/packages/standins/src/deployment.ts
@@ -1,6 +1,6 @@
 /**
- * Starts a whole deployment on loopback as separate processes: platform, endpoints and boxes. For the demonstration,
- * the measurements and the tests.
+ * Starts a complete deployment on loopback, each part as a process of its own: platform, endpoints and boxes. Used by the
+ * demo, the measurements and the tests.
  */
 import type { ChildProcess } from 'node:child_process';
 import { readFileSync } from 'node:fs';
@@ -12,7 +12,7 @@
 const BOX_PROGRAM = 'packages/daemon/dist/main.js';
 const POLL_MS = 20;
 
-/** What to start. */
+/** Describes a deployment to start. */
 export interface DeploymentSpec {
   readonly declaredFile: string;
   readonly halls: readonly string[];
@@ -26,7 +26,7 @@
   readonly boxFlags?: readonly string[];
 }
 
-/** The two users' deployments of today. */
+/** The current deployments of the two users. */
 export const DEPLOYMENTS: Readonly<Record<'lavanda' | 'granja', DeploymentSpec>> = {
   lavanda: {
     declaredFile: 'examples/lavanda/declared.toml',
@@ -48,7 +48,7 @@
   },
 };
 
-/** A running box. */
+/** A running box. `caller`, `peer` and `admin` are the `host:port` addresses of its listeners, named as in its log. */
 export interface BoxHandle {
   readonly id: string;
   readonly hall: string;
@@ -56,7 +56,8 @@
   readonly peer: string;
   readonly admin: string;
   readonly child: ChildProcess;
-  readonly lines: readonly string[];
+  /** Lines of standard output and standard error so far. */
+  readonly outputLines: readonly string[];
 }
 
 /** A running endpoint. */
@@ -69,23 +70,24 @@
   state: 'live' | 'leaving';
 }
 
-interface BoundAddresses {
+/** Listener addresses as the daemon logs them. */
+interface ListenAddresses {
   readonly caller: string;
   readonly peer: string;
   readonly admin: string;
 }
 
-function readAddress(line: string): { address: string } | undefined {
+function parseAddressLine(line: string): { address: string } | undefined {
   return JSON.parse(line) as { address: string };
 }
 
-/** The daemon logs its addresses once it is started. */
-function readStarted(line: string): BoundAddresses | undefined {
+/** Returns the addresses from the line that the daemon logs once it has started; undefined for other lines. */
+function parseStartedLine(line: string): ListenAddresses | undefined {
   const entry = JSON.parse(line) as Record<string, unknown>;
-  return entry['0'] === 'started' ? (entry['1'] as BoundAddresses) : undefined;
+  return entry['0'] === 'started' ? (entry['1'] as ListenAddresses) : undefined;
 }
 
-/** A deployment that runs until it is stopped. */
+/** A running deployment; `stop` ends it. */
 export class Deployment {
   readonly boxes: BoxHandle[] = [];
   readonly endpoints: EndpointHandle[] = [];
@@ -94,7 +96,7 @@
 
   private constructor(readonly spec: DeploymentSpec) {}
 
-  /** Starts everything and waits until every box is ready and sees all others. */
+  /** Starts all processes and waits until every box is ready and lists all boxes as live. */
   static async start(spec: DeploymentSpec): Promise<Deployment> {
     const deployment = new Deployment(spec);
     try {
@@ -106,17 +108,17 @@
     }
   }
 
-  /** URL of the platform stand-in. */
+  /** Base URL of the platform stand-in. */
   get platformUrl(): string {
     return `http://${this.platform?.address}`;
   }
 
-  /** Engines only. */
+  /** The endpoints that serve the model. */
   get engines(): EndpointHandle[] {
     return this.endpoints.filter((endpoint) => endpoint.serves.includes(this.spec.model));
   }
 
-  /** Starts one more box. It is not on the list until `publishBoxes`. */
+  /** Starts another box. The published list contains it only after `publishBoxes`. */
   async startBox(id: string, hall: string, flags: readonly string[] = []): Promise<BoxHandle> {
     const args = [BOX_PROGRAM, '--boxId', id, '--hall', hall, '--platformUrl', this.platformUrl];
     const listeners = ['callerAddress', 'peerAddress', 'adminAddress'].flatMap((name) => [
@@ -125,19 +127,19 @@
     ]);
     const started = await startProcess(
       [...args, ...listeners, ...(this.spec.boxFlags ?? []), ...flags],
-      readStarted,
+      parseStartedLine,
     );
-    const box = { id, hall, ...started.announced, child: started.child, lines: started.lines };
+    const box = { id, hall, ...started.startupInfo, child: started.child, outputLines: started.outputLines };
     this.boxes.push(box);
     return box;
   }
 
-  /** Starts one more endpoint. It is not on the list until `publishEndpoints`. */
+  /** Starts another endpoint. The published list contains it only after `publishEndpoints`. */
   async startEndpoint(id: string, hall: string, kind: 'engine' | 'service'): Promise<EndpointHandle> {
     const flags = kind === 'engine' ? this.spec.engineFlags : this.spec.workerFlags;
-    const started = await startProcess([STANDIN_PROGRAM, kind, ...(flags ?? [])], readAddress);
+    const started = await startProcess([STANDIN_PROGRAM, kind, ...(flags ?? [])], parseAddressLine);
     const serves = kind === 'engine' ? [this.spec.model] : this.spec.workerServices;
-    const { address } = started.announced;
+    const { address } = started.startupInfo;
     const endpoint: EndpointHandle = { id, hall, address, serves, child: started.child, state: 'live' };
     this.endpoints.push(endpoint);
     return endpoint;
@@ -148,13 +150,13 @@
     await fetch(`${this.platformUrl}/standin/values/${name}`, { method: 'PUT', body: text });
   }
 
-  /** Publishes the boxes that run, or those given. */
+  /** Publishes the list of boxes: all running ones by default. */
   async publishBoxes(boxes: readonly BoxHandle[] = this.boxes): Promise<void> {
     const records = boxes.map(({ id, hall, peer }) => ({ id, hall, peerAddress: peer, state: 'live' }));
     await this.publish('boxes', JSON.stringify({ version: ++this.listVersion, boxes: records }));
   }
 
-  /** Publishes the endpoints that run, or those given. */
+  /** Publishes the list of endpoints: all running ones by default. */
   async publishEndpoints(endpoints: readonly EndpointHandle[] = this.endpoints): Promise<void> {
     const records = endpoints.map(({ id, hall, address, serves, state }) => ({
       id,
@@ -166,17 +168,17 @@
     await this.publish('endpoints', JSON.stringify({ version: ++this.listVersion, endpoints: records }));
   }
 
-  /** Changes how the platform behaves. */
+  /** Sets the mode of the platform stand-in. */
   async setPlatformMode(mode: PlatformMode): Promise<void> {
     await fetch(`${this.platformUrl}/standin/mode`, { method: 'POST', body: mode });
   }
 
-  /** Reads a box's status. */
+  /** Fetches the status of a box from its admin listener. */
   async readStatus<T>(box: BoxHandle): Promise<T> {
     return (await (await fetch(`http://${box.admin}/v1/status`)).json()) as T;
   }
 
-  /** Waits until every box sees `count` live boxes and is ready. */
+  /** Waits until every box is ready and lists exactly `count` live boxes. */
   async waitUntilReady(count: number): Promise<void> {
     for (const box of this.boxes) {
       await waitFor(async () => {
@@ -186,13 +188,13 @@
     }
   }
 
-  /** Ends a process of this deployment that was killed or stopped, and forgets it. */
+  /** Sends a signal to a box's process, waits for it to exit and removes the box from `boxes`. */
   async endBox(box: BoxHandle, signal: NodeJS.Signals): Promise<number | null> {
     this.boxes.splice(this.boxes.indexOf(box), 1);
     return endProcess(box.child, signal);
   }
 
-  /** Ends everything. */
+  /** Kills all processes of the deployment. */
   async stop(): Promise<void> {
     const children = [...this.boxes, ...this.endpoints].map((handle) => handle.child);
     if (this.platform !== undefined) children.push(this.platform.child);
@@ -202,20 +204,20 @@
   private async startAll(): Promise<void> {
     const { spec } = this;
     const hallOf = (index: number): string => spec.halls[index % spec.halls.length] ?? '';
-    const platform = await startProcess([STANDIN_PROGRAM, 'platform'], readAddress);
-    this.platform = { child: platform.child, address: platform.announced.address };
+    const platform = await startProcess([STANDIN_PROGRAM, 'platform'], parseAddressLine);
+    this.platform = { child: platform.child, address: platform.startupInfo.address };
     await Promise.all([
-      ...listIds('engine', spec.engineCount).map((id, index) =>
+      ...createIds('engine', spec.engineCount).map((id, index) =>
         this.startEndpoint(id, hallOf(index), 'engine'),
       ),
-      ...listIds('worker', spec.workerCount).map((id, index) =>
+      ...createIds('worker', spec.workerCount).map((id, index) =>
         this.startEndpoint(id, hallOf(index), 'service'),
       ),
-      ...listIds('box', spec.boxCount).map((id, index) => this.startBox(id, hallOf(index))),
+      ...createIds('box', spec.boxCount).map((id, index) => this.startBox(id, hallOf(index))),
     ]);
-    // They start in any order; whoever names one by its place means its place by name.
-    this.boxes.sort(byId);
-    this.endpoints.sort(byId);
+    // Processes become ready in any order; users of `boxes[0]` and the like rely on the order by id.
+    this.boxes.sort(compareById);
+    this.endpoints.sort(compareById);
     await this.publish('declared', readFileSync(spec.declaredFile, 'utf8'));
     await this.publishEndpoints();
     await this.publishBoxes();
@@ -223,19 +225,19 @@
   }
 }
 
-function byId(a: { readonly id: string }, b: { readonly id: string }): number {
+function compareById(a: { readonly id: string }, b: { readonly id: string }): number {
   return a.id.localeCompare(b.id);
 }
 
-function listIds(prefix: string, count: number): string[] {
+function createIds(prefix: string, count: number): string[] {
   return Array.from({ length: count }, (_, index) => `${prefix}-${String(index + 1).padStart(2, '0')}`);
 }
 
-/** Waits for a condition by asking again and again; gives up with an error after `timeoutMs`. */
+/** Polls a condition until it is met; an error of the check counts as not met. Throws after `timeoutMs`. */
 export async function waitFor(isMet: () => Promise<boolean>, timeoutMs = 20_000): Promise<void> {
-  const giveUpAt = Date.now() + timeoutMs;
+  const deadlineMs = Date.now() + timeoutMs;
   while (!(await isMet().catch(() => false))) {
-    if (Date.now() > giveUpAt) throw new Error('the condition was not met in time');
+    if (Date.now() > deadlineMs) throw new Error(`the condition was not met within ${timeoutMs} ms`);
     await pause(POLL_MS);
   }
 }
--- a/packages/standins/src/engine.ts
+++ b/packages/standins/src/engine.ts
@@ -1,34 +1,35 @@
 /**
- * Stand-in for a model engine: chat completions, streamed as server-sent events or whole, with a prefix cache, late
- * load reports, late cache events, cancellation and fenced orders.
+ * Stand-in for a model engine: chat completions as one response or as a stream of server-sent events, a prefix cache with
+ * an event log, delayed load reports, cancellation, and orders protected by fencing tokens.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
-import { answerJson, pause, readText } from './httpTools.js';
+import { sendJson, pause, readText } from './httpTools.js';
 import { PrefixCache } from './prefixCache.js';
 
-/** How fast an engine is, and how much it remembers. */
+/** Speed and cache size of an engine. */
 export interface EngineOptions {
   readonly name: string;
   readonly tokens: number;
   readonly tokenMs: number;
-  /** Time to the first token. */
+  /** Time to the first token with a warm prefix, in milliseconds. */
   readonly firstMs: number;
-  /** Extra time to the first token when the prefix is cold. */
+  /** Additional time to the first token with a cold prefix, in milliseconds. */
   readonly coldMs: number;
   readonly cacheChats: number;
+  /** Time until a change of the load appears in reports, in milliseconds. */
   readonly reportLagMs: number;
 }
 
 interface ChatBody {
   readonly stream?: boolean;
   readonly messages?: readonly { readonly content?: string }[];
-  /** Extension of the stand-in, for tests: how to misbehave. */
+  /** Only the stand-in knows this field: which fault to simulate in this response. */
   readonly fault?: 'break' | 'noEnd' | 'never';
   readonly tokens?: number;
 }
 
-/** Counts that tests and tools read. */
+/** Counters for tests and tools. */
 export interface EngineStats {
   runs: number;
   warm: number;
@@ -38,15 +39,15 @@
   maxInFlight: number;
 }
 
-/** A model engine. */
+/** HTTP server that acts as a model engine. */
 export class EngineStandin {
   readonly server: Server;
   readonly stats: EngineStats = { runs: 0, warm: 0, returning: 0, cancelled: 0, inFlight: 0, maxInFlight: 0 };
   private readonly cache: PrefixCache;
   private readonly runsByRequest = new Map<string, number>();
-  private reported = 0;
-  private leaving = false;
-  private fence = 0;
+  private reportedInFlight = 0;
+  private isLeaving = false;
+  private highestFence = 0;
 
   constructor(private readonly options: EngineOptions) {
     this.cache = new PrefixCache(options.cacheChats);
@@ -60,27 +61,27 @@
       case 'POST /v1/chat/completions':
         return this.complete(req, res);
       case 'GET /v1/report':
-        return answerJson(res, 200, { inFlight: this.reported, leaving: this.leaving });
+        return sendJson(res, 200, { inFlight: this.reportedInFlight, leaving: this.isLeaving });
       case 'GET /v1/cache-events':
-        return answerJson(res, 200, this.cache.listEvents(Number(url.searchParams.get('after') ?? 0)));
+        return sendJson(res, 200, this.cache.listEvents(Number(url.searchParams.get('after') ?? 0)));
       case 'POST /v1/orders':
-        return this.takeOrder(req, res);
+        return this.handleOrder(req, res);
       case 'GET /standin/stats':
-        return answerJson(res, 200, { ...this.stats, runsByRequest: Object.fromEntries(this.runsByRequest) });
+        return sendJson(res, 200, { ...this.stats, runsByRequest: Object.fromEntries(this.runsByRequest) });
       case 'POST /standin/leaving':
-        this.leaving = true;
-        return answerJson(res, 200, {});
+        this.isLeaving = true;
+        return sendJson(res, 200, {});
       default:
-        return answerJson(res, 404, {});
+        return sendJson(res, 404, {});
     }
   }
 
-  /** An order with a fence below the highest seen is refused. */
-  private async takeOrder(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  /** Rejects an order whose fencing token is below the highest one received. */
+  private async handleOrder(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const order = JSON.parse(await readText(req)) as { fence: number };
-    if (order.fence < this.fence) return answerJson(res, 409, { fence: this.fence });
-    this.fence = order.fence;
-    answerJson(res, 200, { fence: this.fence });
+    if (order.fence < this.highestFence) return sendJson(res, 409, { fence: this.highestFence });
+    this.highestFence = order.fence;
+    sendJson(res, 200, { fence: this.highestFence });
   }
 
   private changeInFlight(delta: number): void {
@@ -89,7 +90,7 @@
     stats.maxInFlight = Math.max(stats.maxInFlight, stats.inFlight);
     const { inFlight } = stats;
     setTimeout(() => {
-      this.reported = inFlight;
+      this.reportedInFlight = inFlight;
     }, this.options.reportLagMs).unref();
   }
 
@@ -98,11 +99,11 @@
     const requestId = String(req.headers['x-request-id'] ?? '');
     const chat = String(req.headers['hazelwalk-chat'] ?? body.messages?.[0]?.content ?? '');
     const isReturning = (body.messages?.length ?? 0) > 1;
-    const warm = this.cache.touch(chat);
+    const isWarm = this.cache.touch(chat);
     this.stats.runs += 1;
     this.runsByRequest.set(requestId, (this.runsByRequest.get(requestId) ?? 0) + 1);
     if (isReturning) this.stats.returning += 1;
-    if (isReturning && warm) this.stats.warm += 1;
+    if (isReturning && isWarm) this.stats.warm += 1;
     this.changeInFlight(1);
     let isOpen = true;
     res.on('close', () => {
@@ -110,14 +111,14 @@
       if (!res.writableFinished) this.stats.cancelled += 1;
       this.changeInFlight(-1);
     });
-    const waitMs = this.options.firstMs + (warm ? 0 : this.options.coldMs);
+    const waitMs = this.options.firstMs + (isWarm ? 0 : this.options.coldMs);
     if (waitMs > 0) await pause(waitMs);
     const tokens = body.tokens ?? this.options.tokens;
     if (body.fault === 'never') return;
     if (body.stream === true) return this.stream(res, body, tokens, () => isOpen);
     await pause(tokens * this.options.tokenMs);
     const message = { role: 'assistant', content: listTokens(tokens).join('') };
-    if (isOpen) answerJson(res, 200, { object: 'chat.completion', choices: [{ index: 0, message }] });
+    if (isOpen) sendJson(res, 200, { object: 'chat.completion', choices: [{ index: 0, message }] });
   }
 
   private async stream(
--- a/packages/standins/src/httpTools.ts
+++ b/packages/standins/src/httpTools.ts
@@ -1,27 +1,27 @@
-/** Small helpers that the stand-ins share. */
+/** HTTP helpers shared by the stand-ins. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** Reads a whole body as text. */
+/** Reads a complete request body as text. */
 export async function readText(req: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of req) chunks.push(chunk as Buffer);
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** Answers with JSON. */
-export function answerJson(res: ServerResponse, status: number, value: unknown): void {
+/** Sends a JSON response. */
+export function sendJson(res: ServerResponse, status: number, value: unknown): void {
   const text = JSON.stringify(value);
   res.writeHead(status, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) });
   res.end(text);
 }
 
-/** Waits. */
+/** Resolves after a delay. */
 export function pause(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** Binds a server on loopback and returns its `host:port`. */
+/** Binds a server to loopback and returns its `host:port` address. */
 export function listenOnLoopback(server: Server, port: number): Promise<string> {
   return new Promise((resolve, reject) => {
     server.once('error', reject);
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform and the endpoints, and the launcher that starts a whole deployment of them. */
+/** Starts deployments of boxes and stand-ins, and the helpers for seeded and virtual-time runs. */
 export * from './childProcess.js';
 export * from './deployment.js';
 export { pause } from './httpTools.js';
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Starts one stand-in and prints its address as a line of JSON. */
+/** Starts a stand-in and prints its address as one line of JSON. */
 import type { Server } from 'node:http';
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
@@ -8,13 +8,13 @@
 import { PlainServiceStandin } from './plainService.js';
 import { PlatformStandin } from './platform.js';
 
-async function announce(server: Server): Promise<void> {
+async function listenAndPrintAddress(server: Server): Promise<void> {
   const address = await listenOnLoopback(server, 0);
   process.stdout.write(`${JSON.stringify({ address })}\n`);
 }
 
 await yargs(hideBin(process.argv))
-  .command('platform', 'configuration service', {}, () => announce(new PlatformStandin().server))
+  .command('platform', 'configuration service', {}, () => listenAndPrintAddress(new PlatformStandin().server))
   .command(
     'engine',
     'model engine',
@@ -27,13 +27,13 @@
         .option('coldMs', { type: 'number', default: 20 })
         .option('cacheChats', { type: 'number', default: 200 })
         .option('reportLagMs', { type: 'number', default: 500 }),
-    (options) => announce(new EngineStandin(options).server),
+    (options) => listenAndPrintAddress(new EngineStandin(options).server),
   )
   .command(
     'service',
     'plain service',
     (args) => args.option('delayMs', { type: 'number', default: 5 }),
-    (options) => announce(new PlainServiceStandin(options.delayMs).server),
+    (options) => listenAndPrintAddress(new PlainServiceStandin(options.delayMs).server),
   )
   .demandCommand(1)
   .strict()
--- a/packages/standins/src/plainService.ts
+++ b/packages/standins/src/plainService.ts
@@ -1,17 +1,18 @@
 /**
- * Stand-in for a plain service: counts each run by key, echoes bodies, and misbehaves on request.
+ * Stand-in for a plain service: counts executions by idempotency key or request id, echoes bodies, and simulates faults on
+ * certain paths.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
-import { answerJson, pause, readText } from './httpTools.js';
+import { sendJson, pause, readText } from './httpTools.js';
 
-const ANNOUNCED_BYTES = 100;
+const BODY_BYTES = 100;
 
-/** A plain service. */
+/** HTTP server that acts as a plain service. */
 export class PlainServiceStandin {
   readonly server: Server;
   private readonly runsByKey = new Map<string, number>();
-  private cancelled = 0;
+  private cancelledCount = 0;
 
   constructor(private readonly delayMs: number) {
     this.server = createServer((req, res) => void this.handle(req, res));
@@ -19,12 +20,12 @@
 
   private async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://service');
-    if (url.pathname === '/v1/report') return answerJson(res, 200, { inFlight: 0, leaving: false });
+    if (url.pathname === '/v1/report') return sendJson(res, 200, { inFlight: 0, leaving: false });
     if (url.pathname === '/standin/runs') {
-      return answerJson(res, 200, { runs: Object.fromEntries(this.runsByKey), cancelled: this.cancelled });
+      return sendJson(res, 200, { runs: Object.fromEntries(this.runsByKey), cancelled: this.cancelledCount });
     }
     res.on('close', () => {
-      if (!res.writableFinished) this.cancelled += 1;
+      if (!res.writableFinished) this.cancelledCount += 1;
     });
     const runs = this.countRun(req);
     switch (url.pathname) {
@@ -34,11 +35,11 @@
       case '/never':
         return;
       case '/short':
-        return this.answerShort(req, res);
+        return this.sendTooFewBytes(req, res);
       case '/long':
-        return this.answerLong(req);
+        return this.sendTooManyBytes(req);
       default:
-        return this.confirm(req, res, runs);
+        return this.sendConfirmation(req, res, runs);
     }
   }
 
@@ -49,23 +50,23 @@
     return runs;
   }
 
-  private async confirm(req: IncomingMessage, res: ServerResponse, runs: number): Promise<void> {
+  private async sendConfirmation(req: IncomingMessage, res: ServerResponse, runs: number): Promise<void> {
     const text = await readText(req);
     await pause(this.delayMs);
-    answerJson(res, 200, { confirmed: true, runs, received: text.length });
+    sendJson(res, 200, { confirmed: true, runs, received: text.length });
   }
 
-  /** Announces more than it sends. */
-  private async answerShort(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  /** Sends half of the body that `content-length` announces, then closes the connection. */
+  private async sendTooFewBytes(req: IncomingMessage, res: ServerResponse): Promise<void> {
     await readText(req);
-    res.writeHead(200, { 'content-length': ANNOUNCED_BYTES });
-    res.write('x'.repeat(ANNOUNCED_BYTES / 2), () => res.destroy());
+    res.writeHead(200, { 'content-length': BODY_BYTES });
+    res.write('x'.repeat(BODY_BYTES / 2), () => res.destroy());
   }
 
-  /** Sends more than it announces. */
-  private async answerLong(req: IncomingMessage): Promise<void> {
+  /** Sends more bytes than `content-length` announces. */
+  private async sendTooManyBytes(req: IncomingMessage): Promise<void> {
     await readText(req);
-    req.socket.write(`HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n${'x'.repeat(ANNOUNCED_BYTES)}`);
+    req.socket.write(`HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n${'x'.repeat(BODY_BYTES)}`);
     req.socket.end();
   }
 }
--- a/packages/standins/src/prefixCache.ts
+++ b/packages/standins/src/prefixCache.ts
@@ -1,6 +1,6 @@
-/** An engine's prefix cache: the chats it holds, the least recently used dropped first, with a log of events. */
+/** Prefix cache of an engine: an LRU set of chats with a log of its changes. */
 
-/** Something that happened in the cache. */
+/** A change of the cache. */
 export interface CacheEvent {
   readonly seq: number;
   readonly type: 'stored' | 'evicted';
@@ -9,7 +9,7 @@
 
 const MAX_EVENTS = 1_000;
 
-/** Bounded set of chats. */
+/** LRU cache of the chats whose prefix an engine holds. */
 export class PrefixCache {
   private readonly chats = new Map<string, true>();
   private readonly events: CacheEvent[] = [];
@@ -17,7 +17,7 @@
 
   constructor(private readonly capacity: number) {}
 
-  /** Uses a chat's prefix. Returns whether it was warm. */
+  /** Marks a chat's prefix as used and adds it if it is missing. Returns whether it was cached before. */
   touch(chat: string): boolean {
     const wasWarm = this.chats.delete(chat);
     this.chats.set(chat, true);
@@ -26,7 +26,7 @@
     return wasWarm;
   }
 
-  /** Lists events after a sequence number; those that fell off the log are a gap the reader can see. */
+  /** Lists the events after a sequence number. Events dropped from the bounded log show as a gap in the sequence numbers. */
   listEvents(after: number): CacheEvent[] {
     return this.events.filter((event) => event.seq > after);
   }
--- a/packages/standins/src/timeline.ts
+++ b/packages/standins/src/timeline.ts
@@ -1,29 +1,29 @@
-/** A queue of things to do at given times. */
+/** Virtual time: a queue of actions, each due at a given time. */
 import TinyQueue from 'tinyqueue';
 
-interface Entry {
+interface ScheduledAction {
   readonly atMs: number;
   readonly order: number;
   readonly act: () => void;
 }
 
-/** Runs actions in order of time; those of one time in the order in which they were added. */
+/** Runs actions in order of their due times; actions due at the same time run in the order in which they were added. */
 export class Timeline {
   nowMs = 0;
-  private readonly queue = new TinyQueue<Entry>([], (a, b) => a.atMs - b.atMs || a.order - b.order);
+  private readonly queue = new TinyQueue<ScheduledAction>([], (a, b) => a.atMs - b.atMs || a.order - b.order);
   private nextOrder = 0;
 
-  /** Adds an action. */
+  /** Schedules an action for a time. */
   at(atMs: number, act: () => void): void {
     this.queue.push({ atMs, order: this.nextOrder++, act });
   }
 
-  /** Adds an action after a delay. */
+  /** Schedules an action after a delay. */
   after(delayMs: number, act: () => void): void {
     this.at(this.nowMs + delayMs, act);
   }
 
-  /** Adds an action that repeats until the end. */
+  /** Schedules an action at every interval, without end. */
   every(intervalMs: number, act: () => void): void {
     this.after(intervalMs, () => {
       act();
@@ -31,7 +31,7 @@
     });
   }
 
-  /** Runs until a time; what is due later waits for the next run. */
+  /** Advances to a time and runs all actions due by then; later actions stay queued. */
   run(untilMs: number): void {
     for (
       let entry = this.queue.peek();
