--- a/packages/measure/src/coreDriver.ts
+++ b/packages/measure/src/coreDriver.ts
@@ -1,6 +1,6 @@
 /**
- * Drives the core that ships over a trace: one world a box, frames with a delay between them, fakes for the engines.
- * Time and random numbers are fed in; there are no processes and no sockets.
+ * Runs the production core over a trace: one world per box, delayed frames between the boxes, and simulated engines. Time is
+ * virtual and random numbers are seeded; there are no processes and no sockets.
  */
 import type { CoreEvent, ControlFrame, Effect, RoutingPolicy, World } from '@hazelwalk/core';
 import {
@@ -20,24 +20,26 @@
 import { CHURN, LIST_LAG_MS } from './scenario.js';
 import { Tally } from './tally.js';
 
-const TICK_MS = 50;
-const SAMPLE_MS = 1_000;
-const REPORT_MS = 2_000;
-/** Bytes of one report over HTTP with its headers, as seen on the sockets of the real daemon. */
+const TICK_INTERVAL_MS = 50;
+const SAMPLE_INTERVAL_MS = 1_000;
+const REPORT_INTERVAL_MS = 2_000;
+/** Bytes of one endpoint report over HTTP with its headers, as measured on the sockets of the real daemon. */
 const REPORT_BYTES = 260;
 const HALL_DELAY_MS = 0.3;
 const REGION_DELAY_MS = 1.5;
 const MAX_IN_FLIGHT = 250;
 
+/** A simulated box and the endpoints whose reports it reads. */
 interface SimulatedBox {
   readonly world: World;
   readonly hall: string;
-  watched: readonly string[];
+  watchedEndpointIds: readonly string[];
 }
 
-interface LiveRequest {
+/** A request in progress and the box that it entered. */
+interface ActiveRequest {
   readonly arrival: Arrival;
-  readonly entry: string;
+  readonly entryId: string;
 }
 
 function createDeclaration(scenario: Scenario): Declaration {
@@ -59,13 +61,13 @@
   };
 }
 
-/** A run of the core over a trace. */
+/** Runs the core of all boxes over a trace. */
 class CoreRun {
   readonly tally: Tally;
   private readonly timeline = new Timeline();
   private readonly fleet: EngineFleet;
   private readonly boxes = new Map<string, SimulatedBox>();
-  private readonly requests = new Map<string, LiveRequest>();
+  private readonly requests = new Map<string, ActiveRequest>();
   private readonly random;
 
   constructor(
@@ -85,18 +87,22 @@
       this.boxes.set(boxId, {
         world: createWorld({ boxId, hall, incarnation: 'k1' }, settings, deps, 0),
         hall,
-        watched: [],
+        watchedEndpointIds: [],
       });
     }
   }
 
   run(trace: readonly Arrival[]): Tally {
     this.startBoxes();
-    for (const change of CHURN) this.timeline.at(change.atMs, () => this.changeEngines(change));
-    trace.forEach((arrival, index) => this.timeline.at(arrival.atMs, () => this.arrive(arrival, index)));
-    this.timeline.every(TICK_MS, () => this.tickAll());
-    this.timeline.every(REPORT_MS, () => this.reportAll());
-    this.timeline.every(SAMPLE_MS, () => this.tally.sample(this.timeline.nowMs, this.fleet.inService));
+    for (const change of CHURN) this.timeline.at(change.atMs, () => this.applyChurn(change));
+    trace.forEach((arrival, index) =>
+      this.timeline.at(arrival.atMs, () => this.handleArrival(arrival, index)),
+    );
+    this.timeline.every(TICK_INTERVAL_MS, () => this.tickAll());
+    this.timeline.every(REPORT_INTERVAL_MS, () => this.reportAll());
+    this.timeline.every(SAMPLE_INTERVAL_MS, () =>
+      this.tally.sample(this.timeline.nowMs, this.fleet.inService),
+    );
     this.timeline.run(this.scenario.durationMs);
     return this.tally;
   }
@@ -110,48 +116,48 @@
     }));
     const boxes = JSON.stringify({ version: 1, boxes: records });
     for (const id of this.boxes.keys()) {
-      this.turn(id, { type: 'valueRead', name: 'declared', text: 'declared' });
-      this.turn(id, { type: 'valueRead', name: 'boxes', text: boxes });
-      this.turn(id, { type: 'valueRead', name: 'endpoints', text: this.fleet.writeList() });
-      this.turn(id, { type: 'platformContact', name: 'boxes', ok: true, requestedAtMs: 0 });
+      this.runBoxTurn(id, { type: 'valueRead', name: 'declared', text: 'declared' });
+      this.runBoxTurn(id, { type: 'valueRead', name: 'boxes', text: boxes });
+      this.runBoxTurn(id, { type: 'valueRead', name: 'endpoints', text: this.fleet.writeList() });
+      this.runBoxTurn(id, { type: 'platformContact', name: 'boxes', ok: true, requestedAtMs: 0 });
     }
   }
 
-  /** Every box learns of a change in its own time. */
-  private changeEngines(change: (typeof CHURN)[number]): void {
+  /** Applies a change of the engines and sends the new list to every box after a random delay of its own. */
+  private applyChurn(change: (typeof CHURN)[number]): void {
     this.fleet.apply(change);
     const text = this.fleet.writeList();
     for (const id of this.boxes.keys()) {
       this.timeline.after(this.random() * LIST_LAG_MS, () => {
-        this.turn(id, { type: 'valueRead', name: 'endpoints', text });
+        this.runBoxTurn(id, { type: 'valueRead', name: 'endpoints', text });
       });
     }
   }
 
   private tickAll(): void {
-    for (const id of this.boxes.keys()) this.turn(id, { type: 'tick' });
+    for (const id of this.boxes.keys()) this.runBoxTurn(id, { type: 'tick' });
   }
 
-  /** Reports show the load of some time ago. */
+  /** Sends each box the reports of its watched endpoints; they arrive after the report lag and are outdated by as much. */
   private reportAll(): void {
     for (const [boxId, box] of this.boxes) {
-      for (const endpointId of box.watched) {
+      for (const endpointId of box.watchedEndpointIds) {
         const inFlight = this.fleet.engines.get(endpointId)?.inFlight ?? 0;
         this.tally.controlBytes += REPORT_BYTES;
         this.timeline.after(this.scenario.reportLagMs, () => {
-          this.turn(boxId, { type: 'endpointReport', endpointId, inFlight, leaving: false });
+          this.runBoxTurn(boxId, { type: 'endpointReport', endpointId, inFlight, leaving: false });
         });
       }
     }
   }
 
-  /** The balancer sends every turn to any box. */
-  private arrive(arrival: Arrival, index: number): void {
+  /** The load balancer in front of the boxes has no affinity: each turn enters at a random box. */
+  private handleArrival(arrival: Arrival, index: number): void {
     const ids = [...this.boxes.keys()];
-    const entry = ids[Math.floor(this.random() * ids.length)] ?? '';
+    const entryId = ids[Math.floor(this.random() * ids.length)] ?? '';
     const requestId = `r${index}`;
-    this.requests.set(requestId, { arrival, entry });
-    this.turn(entry, {
+    this.requests.set(requestId, { arrival, entryId });
+    this.runBoxTurn(entryId, {
       type: 'callerRequest',
       requestId,
       head: {
@@ -169,27 +175,27 @@
     });
   }
 
-  private turn(boxId: string, event: CoreEvent): void {
+  private runBoxTurn(boxId: string, event: CoreEvent): void {
     const box = this.boxes.get(boxId);
     if (box === undefined) return;
     const effects = runTurn(box.world, [event], this.timeline.nowMs);
-    for (const effect of effects) this.carryOut(boxId, box, effect);
+    for (const effect of effects) this.applyEffect(boxId, box, effect);
   }
 
-  private carryOut(boxId: string, box: SimulatedBox, effect: Effect): void {
+  private applyEffect(boxId: string, box: SimulatedBox, effect: Effect): void {
     switch (effect.type) {
       case 'send':
-        return this.deliver(boxId, effect.to, effect.frame);
+        return this.sendFrame(boxId, effect.to, effect.frame);
       case 'broadcast':
-        return effect.to.forEach((to) => this.deliver(boxId, to, effect.frame));
+        return effect.to.forEach((to) => this.sendFrame(boxId, to, effect.frame));
       case 'watchEndpoints':
-        box.watched = effect.endpoints.map((endpoint) => endpoint.id);
+        box.watchedEndpointIds = effect.endpoints.map((endpoint) => endpoint.id);
         return;
       case 'dispatch':
         return this.startCall(boxId, effect.requestId, effect.attempt, effect.endpointId);
       case 'refuseCaller':
         this.requests.delete(effect.requestId);
-        return this.tally.noteRefusal(effect.refusal.code);
+        return this.tally.recordRefusal(effect.refusal.code);
       case 'openKeyed':
       case 'deliverKeyed':
       case 'forgetKeyed':
@@ -205,31 +211,36 @@
     }
   }
 
-  private deliver(from: string, to: string, frame: ControlFrame): void {
+  private sendFrame(from: string, to: string, frame: ControlFrame): void {
     const bytes = encodeFrame(frame).length;
     if (isControlTraffic(frame)) this.tally.controlBytes += bytes;
     else this.tally.requestBytes += bytes;
     if (frame.type === 'assign' || frame.type === 'place') this.tally.hops += 1;
     const isSameHall = this.boxes.get(from)?.hall === this.boxes.get(to)?.hall;
     this.timeline.after(isSameHall ? HALL_DELAY_MS : REGION_DELAY_MS, () => {
-      this.turn(to, { type: 'frame', from, frame });
+      this.runBoxTurn(to, { type: 'frame', from, frame });
     });
   }
 
-  private startCall(steward: string, requestId: string, attempt: number, endpointId: string): void {
+  private startCall(ownerId: string, requestId: string, attempt: number, endpointId: string): void {
     const request = this.requests.get(requestId);
     const engine = this.fleet.engines.get(endpointId);
     if (request === undefined || engine === undefined) return;
-    const { arrival, entry } = request;
+    const { arrival, entryId } = request;
     const wasWarm = engine.start(arrival.chat);
     const waitMs = this.timeline.nowMs - arrival.atMs;
     const isQuiet = arrival.team !== this.scenario.teams[0]?.name;
-    this.tally.noteStart(this.timeline.nowMs, arrival.isReturning, wasWarm, isQuiet, waitMs);
+    this.tally.recordStart(this.timeline.nowMs, arrival.isReturning, wasWarm, isQuiet, waitMs);
     this.timeline.after(arrival.outputMs + (wasWarm ? 0 : this.scenario.coldMs), () => {
       engine.end();
       this.requests.delete(requestId);
-      this.turn(steward, { type: 'callEnded', requestId, attempt, outcome: { type: 'whole', status: 200 } });
-      this.turn(entry, { type: 'answerEnded', requestId, attempt });
+      this.runBoxTurn(ownerId, {
+        type: 'callEnded',
+        requestId,
+        attempt,
+        outcome: { type: 'whole', status: 200 },
+      });
+      this.runBoxTurn(entryId, { type: 'answerEnded', requestId, attempt });
     });
   }
 }
--- a/packages/measure/src/fleet.ts
+++ b/packages/measure/src/fleet.ts
@@ -1,11 +1,11 @@
 /**
- * The engines of a run and the list that names them.
+ * The engines of a run and the published endpoint list.
  */
 import type { EndpointRecord, ListedState } from '@hazelwalk/core';
 import type { Churn, Scenario } from './scenario.js';
 import { SimulatedEngine } from './simulatedEngine.js';
 
-/** Engines by id, and which of them are in service. */
+/** All engines of a run and the listed state of each. */
 export class EngineFleet {
   readonly engines = new Map<string, SimulatedEngine>();
   private readonly states = new Map<string, ListedState>();
@@ -15,12 +15,12 @@
     for (let index = 1; index <= scenario.engineCount; index += 1) this.join(index);
   }
 
-  /** The engines that are listed live. */
+  /** The engines that are listed as live. */
   get inService(): SimulatedEngine[] {
     return [...this.engines.values()].filter((engine) => this.states.get(engine.id) === 'live');
   }
 
-  /** Applies a change. */
+  /** Applies a change of the endpoint list. */
   apply(change: Churn): void {
     this.version += 1;
     const id = toId(change.engine);
@@ -34,7 +34,7 @@
     }
   }
 
-  /** The endpoint list as published. */
+  /** Formats the endpoint list as published. */
   writeList(): string {
     const endpoints = [...this.states].map(([id, state]): EndpointRecord => {
       const hall = this.scenario.halls[Number(id.slice(-2)) % this.scenario.halls.length] ?? '';
@@ -43,7 +43,7 @@
     return JSON.stringify({ version: this.version, endpoints });
   }
 
-  /** An engine that flaps keeps its cache: it was cut off, not restarted. */
+  /** Lists an engine as live. An engine that rejoins keeps its cache: it was disconnected, not restarted. */
   private join(index: number): void {
     const id = toId(index);
     if (!this.engines.has(id)) this.engines.set(id, new SimulatedEngine(id, this.scenario.cacheChats));
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `npm run measure`: all policies beside the oracle on one trace, for both users. */
+/** `npm run measure`: compares all policies with the oracle on the same trace, for the deployments of both users. */
 import { createPolicy, POLICY_NAMES } from '@hazelwalk/core';
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
@@ -9,7 +9,7 @@
 import { createTrace, SCENARIOS } from './scenario.js';
 import type { VariantResult } from './tally.js';
 
-function print(result: VariantResult, json: boolean): void {
+function printResult(result: VariantResult, json: boolean): void {
   if (json) return void process.stdout.write(`${JSON.stringify(result)}\n`);
   const { deployment, policy, skewMedian, skewP99, skewMax, boundViolations, boundViolationsInChurn } =
     result;
@@ -22,19 +22,19 @@
 }
 
 const options = await yargs(hideBin(process.argv))
-  .option('json', { type: 'boolean', default: false, describe: 'one JSON object a line' })
+  .option('json', { type: 'boolean', default: false, describe: 'print one JSON object per line' })
   .option('processes', {
     type: 'boolean',
     default: false,
-    describe: 'measure real daemons on loopback instead',
+    describe: 'measure real daemons on loopback instead of the core',
   })
   .option('policy', { type: 'array', choices: POLICY_NAMES, default: [...POLICY_NAMES] })
-  .option('seed', { type: 'number', describe: 'another trace than the usual one' })
+  .option('seed', { type: 'number', describe: 'seed of the trace, instead of the default' })
   .option('set', {
     type: 'string',
     array: true,
     default: [] as string[],
-    describe: 'settings of the core to try, as name=number',
+    describe: 'overrides settings of the core, as name=number',
   })
   .strict()
   .parseAsync();
@@ -47,14 +47,14 @@
 );
 
 async function measureCore(): Promise<void> {
-  for (const usual of SCENARIOS) {
-    const scenario = { ...usual, seed: options.seed ?? usual.seed };
+  for (const baseScenario of SCENARIOS) {
+    const scenario = { ...baseScenario, seed: options.seed ?? baseScenario.seed };
     const trace = createTrace(scenario);
     const oracle = runOracle(scenario, trace);
-    print(oracle.summarise('oracle', oracle.reuse), options.json);
+    printResult(oracle.summarise('oracle', oracle.reuse), options.json);
     for (const name of options.policy) {
       const tally = await runCore(scenario, createPolicy(name), trace, overrides);
-      print(tally.summarise(name, oracle.reuse), options.json);
+      printResult(tally.summarise(name, oracle.reuse), options.json);
     }
   }
 }
--- a/packages/measure/src/matrix.ts
+++ b/packages/measure/src/matrix.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `npm run matrix`: every fault at every step, on real processes; writes docs/FAULT-MATRIX.md. */
+/** `npm run matrix`: injects every fault at every step on real processes and writes docs/FAULT-MATRIX.md. */
 import { writeFileSync } from 'node:fs';
 import type { CellResult, Fault, Step } from './matrixCell.js';
 import { FAULTS, runCell, STEPS } from './matrixCell.js';
@@ -12,11 +12,11 @@
   readonly result: CellResult;
 }
 
-function describe(result: CellResult): string {
+function describeResult(result: CellResult): string {
   return result.type === 'notRun' ? 'not run' : result.type;
 }
 
-function countOf(cells: readonly Cell[], type: CellResult['type']): number {
+function countResults(cells: readonly Cell[], type: CellResult['type']): number {
   return cells.filter(({ result }) => result.type === type).length;
 }
 
@@ -33,13 +33,13 @@
 function writePage(cells: readonly Cell[], summary: string): void {
   const rows = FAULTS.map((fault) => {
     const results = STEPS.map((step) => cells.find((cell) => cell.step === step && cell.fault === fault));
-    return `| ${fault} | ${results.map((cell) => (cell === undefined ? '' : describe(cell.result))).join(' | ')} |`;
+    return `| ${fault} | ${results.map((cell) => (cell === undefined ? '' : describeResult(cell.result))).join(' | ')} |`;
   });
   const lines = [
     '# Fault matrix',
     '',
-    'Written by `npm run matrix`: a request is brought to a step, a fault strikes, and the promises are checked against',
-    'what the endpoints counted and the caller received. Four boxes, two engines, two workers, real processes.',
+    'Written by `npm run matrix`: a request is brought to a step, a fault is injected, and the guarantees are checked against',
+    'the runs that the endpoints counted and the response of the caller. Four boxes, two engines, two workers, real processes.',
     '',
     `| Fault | ${STEPS.join(' | ')} |`,
     `| --- |${' --- |'.repeat(STEPS.length)}`,
@@ -59,10 +59,10 @@
     const result = await runCell(step, fault);
     cells.push({ step, fault, result });
     const reasons = result.type === 'failed' ? `: ${result.reasons.join('; ')}` : '';
-    process.stdout.write(`${fault} | ${step} | ${describe(result)}${reasons}\n`);
+    process.stdout.write(`${fault} | ${step} | ${describeResult(result)}${reasons}\n`);
   }
 }
-const summary = `${countOf(cells, 'passed')} passed, ${countOf(cells, 'failed')} failed, ${countOf(cells, 'notRun')} not run`;
+const summary = `${countResults(cells, 'passed')} passed, ${countResults(cells, 'failed')} failed, ${countResults(cells, 'notRun')} not run`;
 process.stdout.write(`${summary}\n`);
 writePage(cells, summary);
-process.exitCode = countOf(cells, 'failed') === 0 ? 0 : 1;
+process.exitCode = countResults(cells, 'failed') === 0 ? 0 : 1;
--- a/packages/measure/src/matrixCell.ts
+++ b/packages/measure/src/matrixCell.ts
@@ -1,11 +1,11 @@
 /**
- * One cell of the fault matrix: a request is brought to a step, a fault strikes, and the promises are checked against
- * what the endpoints counted and the caller received.
+ * Runs one cell of the fault matrix: brings a request to a step, injects a fault, and checks the guarantees against the runs that
+ * the endpoints counted and the response that the caller received.
  */
 import type { BoxHandle, DeploymentSpec, EndpointHandle } from '@hazelwalk/standins';
 import { Deployment, DEPLOYMENTS, pause, waitFor } from '@hazelwalk/standins';
 
-/** Where a request stands when the fault strikes. */
+/** The progress of a request at which a fault is injected. */
 export const STEPS = [
   'chat accepted',
   'chat dispatched',
@@ -19,7 +19,7 @@
 /** One step. */
 export type Step = (typeof STEPS)[number];
 
-/** What strikes. */
+/** Faults to inject, named as in the page. The steward in these names is the box that owns the endpoint. */
 export const FAULTS = [
   'kill entry',
   'kill steward',
@@ -38,7 +38,7 @@
 /** One fault. */
 export type Fault = (typeof FAULTS)[number];
 
-/** What became of a cell. */
+/** Result of a cell. */
 export type CellResult =
   | { readonly type: 'passed' }
   | { readonly type: 'failed'; readonly reasons: readonly string[] }
@@ -61,19 +61,20 @@
   boxFlags: ['--heartbeatMs', '200', '--leaseMs', '800'],
 };
 
+/** The fields of an endpoint in a box's status; `steward` is the id of the box that owns the endpoint, or null. */
 interface EndpointView {
   readonly id: string;
   readonly steward: string | null;
 }
 
-/** What the caller got, and how far. */
+/** Sends the request of a cell and records the response as it arrives. */
 class Caller {
   text = '';
   status = 0;
-  isOver = false;
+  isDone = false;
   isBroken = false;
 
-  async ask(url: string, body: string): Promise<void> {
+  async sendAndRecord(url: string, body: string): Promise<void> {
     try {
       const response = await fetch(url, {
         method: 'POST',
@@ -92,14 +93,16 @@
     } catch {
       this.isBroken = true;
     }
-    this.isOver = true;
+    this.isDone = true;
   }
 
+  /** Number of tokens received so far. */
   get tokens(): number {
     return this.text.match(/ t\d+/g)?.length ?? 0;
   }
 }
 
+/** A cell on a running deployment. */
 class Cell {
   readonly caller = new Caller();
   private readonly isChat: boolean;
@@ -110,29 +113,29 @@
     private readonly fault: Fault,
     private readonly entry: BoxHandle,
     private endpoint: EndpointHandle,
-    private steward: BoxHandle,
+    private owner: BoxHandle,
   ) {
     this.isChat = step.startsWith('chat');
   }
 
   async run(): Promise<string[]> {
-    const asked = this.send();
-    await waitFor(async () => this.hasReached());
-    await this.aim();
-    await this.strike();
-    await asked;
-    if (this.fault === 'freeze steward, wake') this.steward.child.kill('SIGCONT');
+    const responseDone = this.send();
+    await waitFor(async () => this.hasReachedStep());
+    await this.selectBookingWorker();
+    await this.injectFault();
+    await responseDone;
+    if (this.fault === 'freeze steward, wake') this.owner.child.kill('SIGCONT');
     return [...(await this.checkRequest()), ...(await this.checkOthers())];
   }
 
   private send(): Promise<void> {
     const base = `http://${this.entry.caller}`;
-    if (!this.isChat) return this.caller.ask(`${base}/services/booking/pickups`, 'linen');
+    if (!this.isChat) return this.caller.sendAndRecord(`${base}/services/booking/pickups`, 'linen');
     const body = { model: SPEC.model, stream: true, messages: [{ role: 'user', content: 'hello' }] };
-    return this.caller.ask(`${base}/v1/chat/completions`, JSON.stringify(body));
+    return this.caller.sendAndRecord(`${base}/v1/chat/completions`, JSON.stringify(body));
   }
 
-  private async hasReached(): Promise<boolean> {
+  private async hasReachedStep(): Promise<boolean> {
     switch (this.step) {
       case 'chat accepted':
       case 'booking accepted':
@@ -146,32 +149,32 @@
         return this.caller.tokens >= TOKENS / 2;
       case 'chat answered':
       case 'booking answered':
-        return this.caller.isOver;
+        return this.caller.isDone;
     }
   }
 
-  /** Faults strike the worker that has the booking, once one has it. */
-  private async aim(): Promise<void> {
+  /** Makes the worker that runs the booking, if one does, and its owner the targets of the fault. */
+  private async selectBookingWorker(): Promise<void> {
     if (this.isChat) return;
     for (const endpoint of this.deployment.endpoints) {
       if ((await this.countRunsAt(endpoint)) === 0) continue;
       this.endpoint = endpoint;
-      this.steward = await findSteward(this.deployment, endpoint);
+      this.owner = await findOwner(this.deployment, endpoint);
     }
   }
 
-  private async strike(): Promise<void> {
-    const { deployment, steward, endpoint } = this;
+  private async injectFault(): Promise<void> {
+    const { deployment, owner, endpoint } = this;
     switch (this.fault) {
       case 'kill entry':
         return void (await deployment.endBox(this.entry, 'SIGKILL'));
       case 'kill steward':
-        return void (await deployment.endBox(steward, 'SIGKILL'));
+        return void (await deployment.endBox(owner, 'SIGKILL'));
       case 'freeze steward, wake':
-        steward.child.kill('SIGSTOP');
+        owner.child.kill('SIGSTOP');
         return pause(FREEZE_MS);
       case 'stop steward':
-        return void (await deployment.endBox(steward, 'SIGTERM'));
+        return void (await deployment.endBox(owner, 'SIGTERM'));
       case 'kill endpoint':
         return void endpoint.child.kill('SIGKILL');
       case 'endpoint leaving':
@@ -185,17 +188,17 @@
       case 'platform stale':
         return deployment.setPlatformMode('stale');
       case 'list drops steward':
-        return deployment.publishBoxes(deployment.boxes.filter((other) => other !== steward));
+        return deployment.publishBoxes(deployment.boxes.filter((other) => other !== owner));
       case 'kill steward + platform down':
         await deployment.setPlatformMode('down');
-        return void (await deployment.endBox(steward, 'SIGKILL'));
+        return void (await deployment.endBox(owner, 'SIGKILL'));
       case 'cut of a box':
       case 'hall cut':
         return;
     }
   }
 
-  /** Runs of the request at all endpoints that still answer. */
+  /** Counts the runs of the request at all endpoints that are still reachable. */
   private async countRuns(): Promise<number> {
     const counts = await Promise.all(this.deployment.endpoints.map((endpoint) => this.countRunsAt(endpoint)));
     return counts.reduce((sum, count) => sum + count, 0);
@@ -204,11 +207,11 @@
   private async countRunsAt(endpoint: EndpointHandle): Promise<number> {
     const path = endpoint.id.startsWith('engine') ? '/standin/stats' : '/standin/runs';
     try {
-      const answer = (await (await fetch(`http://${endpoint.address}${path}`)).json()) as Record<
+      const stats = (await (await fetch(`http://${endpoint.address}${path}`)).json()) as Record<
         string,
         Record<string, number>
       >;
-      return (answer['runsByRequest'] ?? answer['runs'])?.[REQUEST_ID] ?? 0;
+      return (stats['runsByRequest'] ?? stats['runs'])?.[REQUEST_ID] ?? 0;
     } catch {
       return 0;
     }
@@ -217,29 +220,34 @@
   private async checkRequest(): Promise<string[]> {
     const { caller } = this;
     const runs = await this.countRuns();
-    const saysNotRun = /"ran":"no"/.test(caller.text);
+    const reportsNotRun = /"ran":"no"/.test(caller.text);
     const reasons: string[] = [];
     if (!this.isChat && runs > 1) reasons.push(`the booking ran ${runs} times`);
-    if (saysNotRun && runs > 0) reasons.push('"not run" is not true');
+    if (reportsNotRun && runs > 0)
+      reasons.push('the response reports that the request did not run, but it ran');
     if (this.isChat && caller.text.includes('[DONE]') && caller.tokens !== TOKENS)
-      reasons.push('a cut answer looks whole');
-    const isTyped = caller.text.includes('"code":');
-    const isWhole =
+      reasons.push('an incomplete response looks complete');
+    const hasErrorCode = caller.text.includes('"code":');
+    const isComplete =
       caller.status === 200 &&
       (this.isChat ? caller.text.includes('[DONE]') : caller.text.includes('confirmed'));
-    const lostEntry = this.fault === 'kill entry';
-    if (!isWhole && !isTyped && !lostEntry)
-      reasons.push(`neither whole nor typed: ${caller.status} ${caller.text.slice(-80)}`);
-    const isHarmless = !['kill', 'freeze'].some((word) => this.fault.startsWith(word));
-    if (isHarmless && !isWhole)
-      reasons.push(`a fault that need cut nothing cut the answer: ${caller.text.slice(-120)}`);
+    const isEntryKilled = this.fault === 'kill entry';
+    if (!isComplete && !hasErrorCode && !isEntryKilled)
+      reasons.push(
+        `neither a complete response nor an error with a code: ${caller.status} ${caller.text.slice(-80)}`,
+      );
+    const mustComplete = !['kill', 'freeze'].some((word) => this.fault.startsWith(word));
+    if (mustComplete && !isComplete)
+      reasons.push(
+        `the response is incomplete, although this fault must not interrupt it: ${caller.text.slice(-120)}`,
+      );
     return reasons;
   }
 
-  /** Another caller at another box is served soon after. */
+  /** Checks that another caller is served at another box within five seconds after the fault. */
   private async checkOthers(): Promise<string[]> {
     const other =
-      this.deployment.boxes.find((box) => box !== this.entry && box !== this.steward) ??
+      this.deployment.boxes.find((box) => box !== this.entry && box !== this.owner) ??
       this.deployment.boxes[0];
     const isEndpointGone = this.fault.includes('endpoint') && !this.isChat;
     if (other === undefined || isEndpointGone) return [];
@@ -253,22 +261,22 @@
     };
     return waitFor(ask, 5_000).then(
       () => [],
-      () => ['another caller is not served'],
+      () => ['another caller is not served within 5 s'],
     );
   }
 }
 
-async function findSteward(deployment: Deployment, endpoint: EndpointHandle): Promise<BoxHandle> {
+async function findOwner(deployment: Deployment, endpoint: EndpointHandle): Promise<BoxHandle> {
   const [box] = deployment.boxes;
-  if (box === undefined) throw new Error('no box');
+  if (box === undefined) throw new Error('the deployment has no box');
   const { endpoints } = await deployment.readStatus<{ endpoints: EndpointView[] }>(box);
   const id = endpoints.find((other) => other.id === endpoint.id)?.steward;
-  const steward = deployment.boxes.find((other) => other.id === id);
-  if (steward === undefined) throw new Error('the endpoint has no steward');
-  return steward;
+  const owner = deployment.boxes.find((other) => other.id === id);
+  if (owner === undefined) throw new Error(`no box of the deployment owns endpoint ${endpoint.id}`);
+  return owner;
 }
 
-/** The engine that the chat goes to, or the worker. */
+/** Finds the endpoint of the request: the first candidate for the chat, or the first worker for a booking. */
 async function findEndpoint(deployment: Deployment, isChat: boolean): Promise<EndpointHandle> {
   const [box] = deployment.boxes;
   const query = new URLSearchParams({ model: SPEC.model, chat: CHAT });
@@ -276,24 +284,25 @@
   const { candidates } = (await response.json()) as { candidates: { id: string }[] };
   const id = isChat ? candidates[0]?.id : 'worker-01';
   const endpoint = deployment.endpoints.find((other) => other.id === id);
-  if (endpoint === undefined) throw new Error('no endpoint');
+  if (endpoint === undefined) throw new Error(`the deployment has no endpoint ${id}`);
   return endpoint;
 }
 
-/** Runs a cell on a deployment of its own. */
+/** Runs a cell on its own deployment. */
 export async function runCell(step: Step, fault: Fault): Promise<CellResult> {
   if (fault === 'cut of a box' || fault === 'hall cut') {
-    return { type: 'notRun', reason: 'the relay that makes cuts is not built' };
+    return { type: 'notRun', reason: 'network cuts are not implemented' };
   }
   const deployment = await Deployment.start(SPEC);
   try {
     const endpoint = await findEndpoint(deployment, step.startsWith('chat'));
-    const steward = await findSteward(deployment, endpoint);
+    const owner = await findOwner(deployment, endpoint);
     const workers = deployment.endpoints.filter(({ id }) => id.startsWith('worker'));
-    const stewards = await Promise.all(workers.map((worker) => findSteward(deployment, worker)));
-    const entry = deployment.boxes.find((box) => box !== steward && !stewards.includes(box));
-    if (entry === undefined) throw new Error('every box is a steward of what the cell needs');
-    const reasons = await new Cell(deployment, step, fault, entry, endpoint, steward).run();
+    const workerOwners = await Promise.all(workers.map((worker) => findOwner(deployment, worker)));
+    const entry = deployment.boxes.find((box) => box !== owner && !workerOwners.includes(box));
+    if (entry === undefined)
+      throw new Error('every box owns the endpoint or a worker; the entry box must own neither');
+    const reasons = await new Cell(deployment, step, fault, entry, endpoint, owner).run();
     return reasons.length === 0 ? { type: 'passed' } : { type: 'failed', reasons };
   } catch (error) {
     return { type: 'failed', reasons: [(error as Error).message] };
--- a/packages/measure/src/passThrough.ts
+++ b/packages/measure/src/passThrough.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The bare pass-through that the daemon is compared with: Node's `http` in front of `undici`, and nothing else. */
+/** Baseline for the daemon's processor time: a plain proxy of Node's `http` server and an `undici` client. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { pipeline } from 'node:stream';
--- a/packages/measure/src/processMeasure.ts
+++ b/packages/measure/src/processMeasure.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the real daemons on loopback: added latency against calling an engine directly, and requests per second of
- * processor time beside a bare pass-through.
+ * Measures real daemons on loopback: the latency that they add to a direct call of an engine, and requests per second of processor
+ * time, compared with a plain pass-through proxy.
  */
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
@@ -15,11 +15,11 @@
 const LATENCY_CLIENTS = 8;
 const CPU_REQUESTS = 5_000;
 const CPU_CLIENTS = 128;
-/** Rounds of load before a figure is taken: each process has to compile what it runs. */
+/** Rounds of load before a measurement, so that the JIT compiler of each process has optimised the code. */
 const WARM_UP_ROUNDS = 3;
 const SETTLE_MS = 5_000;
 const MICROSECONDS_PER_MS = 1_000;
-/** Answers in one piece after a while, so that engines carry some load and the bound has a meaning. */
+/** Engines respond after 40 ms with all tokens at once, so that they have requests in flight and the load bound takes effect. */
 const ENGINE_FLAGS = ['--tokens', '8', '--tokenMs', '0', '--coldMs', '0', '--firstMs', '40'];
 
 /** One line of results. */
@@ -32,11 +32,11 @@
   readonly requestsPerCpuSecond: number;
   readonly requestsPerCpuSecondPassThrough: number;
   readonly controlBytesPerSecondPerBox: number;
-  /** Answers that were not whole, by the first characters of what came. */
+  /** Number of incomplete responses by error code, or by status if the response has no code. */
   readonly refusals: Readonly<Record<string, number>>;
 }
 
-interface BoxReport {
+interface BoxStatus {
   readonly cpuMs: number;
   readonly uptimeMs: number;
   readonly bytes: { readonly control: number; readonly platformAndReports: number };
@@ -55,7 +55,7 @@
   readonly refusals: Map<string, number>;
 }
 
-/** Sends chats with some clients in a closed loop; notes the time to the first byte of each answer. */
+/** Sends chats from a number of clients in a closed loop and records the time to the response headers of each. */
 async function applyLoad(options: LoadOptions): Promise<LoadResult> {
   const agent = new Agent({ connections: options.clients });
   const latencies = build({ highestTrackableValue: 60_000_000, numberOfSignificantValueDigits: 3 });
@@ -66,7 +66,7 @@
   });
   let next = 0;
   const refusals = new Map<string, number>();
-  const work = async (): Promise<void> => {
+  const runClient = async (): Promise<void> => {
     while (next < options.requests) {
       const index = next++;
       const address = options.addresses[index % options.addresses.length] ?? '';
@@ -88,7 +88,7 @@
       refusals.set(reason, (refusals.get(reason) ?? 0) + 1);
     }
   };
-  await Promise.all(Array.from({ length: options.clients }, work));
+  await Promise.all(Array.from({ length: options.clients }, runClient));
   await agent.close();
   return { latencies, refusals };
 }
@@ -98,14 +98,14 @@
 }
 
 async function readCpuMs(deployment: Deployment): Promise<number> {
-  const reports = await Promise.all(deployment.boxes.map((box) => deployment.readStatus<BoxReport>(box)));
+  const reports = await Promise.all(deployment.boxes.map((box) => deployment.readStatus<BoxStatus>(box)));
   return reports.reduce((sum, report) => sum + report.cpuMs, 0);
 }
 
-/** Control bytes over a quiet interval with the usual peers, counted on the sockets. */
-async function measureControl(deployment: Deployment): Promise<number> {
+/** Measures the control bytes per second and box on an idle deployment, as counted on the sockets. */
+async function measureControlTraffic(deployment: Deployment): Promise<number> {
   const read = async (): Promise<number> => {
-    const reports = await Promise.all(deployment.boxes.map((box) => deployment.readStatus<BoxReport>(box)));
+    const reports = await Promise.all(deployment.boxes.map((box) => deployment.readStatus<BoxStatus>(box)));
     return reports.reduce((sum, { bytes }) => sum + bytes.control + bytes.platformAndReports, 0);
   };
   const before = await read();
@@ -131,7 +131,7 @@
   return cpuMs;
 }
 
-/** The same load over as many bare pass-through processes as there are boxes, each in front of one engine. */
+/** Applies the same load to as many pass-through processes as there are boxes, each in front of one engine. */
 async function measurePassThrough(
   deployment: Deployment,
   load: Omit<LoadOptions, 'addresses'>,
@@ -166,25 +166,25 @@
     const team = name === 'lavanda' ? 'hotel-chain' : 'montevideo';
     const engines = deployment.engines.map((engine) => engine.address);
     const boxes = deployment.boxes.map((box) => box.caller);
-    const common = { model: spec.model, team };
-    const light = { ...common, requests: LATENCY_REQUESTS, clients: LATENCY_CLIENTS };
-    const heavy = { ...common, requests: CPU_REQUESTS, clients: CPU_CLIENTS };
-    await warmUp({ ...heavy, addresses: boxes }, WARM_UP_ROUNDS);
-    const through = await applyLoad({ ...light, addresses: boxes });
-    const direct = await applyLoad({ ...light, addresses: engines });
+    const sharedLoad = { model: spec.model, team };
+    const latencyLoad = { ...sharedLoad, requests: LATENCY_REQUESTS, clients: LATENCY_CLIENTS };
+    const cpuLoad = { ...sharedLoad, requests: CPU_REQUESTS, clients: CPU_CLIENTS };
+    await warmUp({ ...cpuLoad, addresses: boxes }, WARM_UP_ROUNDS);
+    const routed = await applyLoad({ ...latencyLoad, addresses: boxes });
+    const direct = await applyLoad({ ...latencyLoad, addresses: engines });
     const cpuBefore = await readCpuMs(deployment);
-    const loaded = await applyLoad({ ...heavy, addresses: boxes });
+    const loaded = await applyLoad({ ...cpuLoad, addresses: boxes });
     const cpuMs = (await readCpuMs(deployment)) - cpuBefore;
     return {
       policy,
       deployment: name,
-      addedLatencyP50Ms: round(toMs(through.latencies, 50) - toMs(direct.latencies, 50)),
-      addedLatencyP99Ms: round(toMs(through.latencies, 99) - toMs(direct.latencies, 99)),
+      addedLatencyP50Ms: round(toMs(routed.latencies, 50) - toMs(direct.latencies, 50)),
+      addedLatencyP99Ms: round(toMs(routed.latencies, 99) - toMs(direct.latencies, 99)),
       directLatencyP50Ms: round(toMs(direct.latencies, 50)),
       requestsPerCpuSecond: Math.round((CPU_REQUESTS * 1_000) / cpuMs),
-      requestsPerCpuSecondPassThrough: Math.round(await measurePassThrough(deployment, heavy)),
-      controlBytesPerSecondPerBox: await measureControl(deployment),
-      refusals: Object.fromEntries([...through.refusals, ...loaded.refusals]),
+      requestsPerCpuSecondPassThrough: Math.round(await measurePassThrough(deployment, cpuLoad)),
+      controlBytesPerSecondPerBox: await measureControlTraffic(deployment),
+      refusals: Object.fromEntries([...routed.refusals, ...loaded.refusals]),
     };
   } finally {
     await deployment.stop();
--- a/packages/measure/src/scenario.ts
+++ b/packages/measure/src/scenario.ts
@@ -1,10 +1,11 @@
 /**
- * What is measured: two users' deployments of today, one trace of returning chats each, and the churn it meets.
+ * The measured scenarios: the current deployments of the two users, a trace of returning chats for each, and the churn of the
+ * engines during the trace.
  */
 import type { Random } from '@hazelwalk/standins';
 import { createRandom, drawExponential, drawLogNormal } from '@hazelwalk/standins';
 
-/** One user's deployment as the driver needs it. */
+/** A user's deployment and the parameters of its trace. */
 export interface Scenario {
   readonly deployment: 'lavanda' | 'granja';
   readonly halls: readonly string[];
@@ -14,7 +15,7 @@
   readonly boxCount: number;
   readonly engineCount: number;
   readonly durationMs: number;
-  /** Statistics start here: before, caches and directory fill. */
+  /** Statistics start at this time, after caches and directory have filled. */
   readonly warmUpMs: number;
   readonly newChatsPerSecond: number;
   readonly meanTurns: number;
@@ -79,7 +80,7 @@
   },
 ];
 
-/** One turn of one chat. */
+/** A request: one turn of a chat. */
 export interface Arrival {
   readonly atMs: number;
   readonly chat: string;
@@ -88,14 +89,14 @@
   readonly outputMs: number;
 }
 
-/** A team sends several times its usual share between these times. */
+/** Between these times the first team starts `factor` times as many chats as usual. */
 export const SURGE = { fromMs: 200_000, untilMs: 260_000, factor: 3 } as const;
 
 function pickTeam(scenario: Scenario, random: Random): string {
-  let left = random();
+  let remaining = random();
   for (const team of scenario.teams) {
-    left -= team.share;
-    if (left < 0) return team.name;
+    remaining -= team.share;
+    if (remaining < 0) return team.name;
   }
   return scenario.teams[0]?.name ?? '';
 }
@@ -118,7 +119,7 @@
   return arrivals;
 }
 
-/** Creates the trace: chats start at random and return after pauses; one team surges for a while. */
+/** Creates the trace: chats start at random times and continue after pauses; the first team surges for a while. */
 export function createTrace(scenario: Scenario): Arrival[] {
   const random = createRandom(scenario.seed);
   const arrivals: Arrival[] = [];
@@ -147,7 +148,7 @@
   readonly type: 'join' | 'leaving' | 'remove';
 }
 
-/** Engines join, leave and flap. */
+/** Engines that join, leave and flap. */
 export const CHURN: readonly Churn[] = [
   { atMs: 90_000, engine: 13, type: 'join' },
   { atMs: 130_000, engine: 3, type: 'leaving' },
@@ -161,7 +162,7 @@
   { atMs: 370_000, engine: 8, type: 'remove' },
 ];
 
-/** Lists reach the boxes within this time; boxes disagree meanwhile. */
+/** A new list reaches every box within this time; until then, boxes use different lists. */
 export const LIST_LAG_MS = 3_000;
 /** Samples within this time after a change of the list count as churn, not as steady state. */
 export const CHURN_WINDOW_MS = 15_000;
--- a/packages/measure/src/simulatedEngine.ts
+++ b/packages/measure/src/simulatedEngine.ts
@@ -1,6 +1,6 @@
-/** A fake engine at the core's interface: counts, a prefix cache of limited size, answers of given length. */
+/** A simulated engine for runs of the core: requests in flight and a prefix cache of limited size. */
 
-/** A model engine without processes or time of its own. */
+/** A model engine without a process; the caller ends its calls at the virtual time that it chooses. */
 export class SimulatedEngine {
   inFlight = 0;
   private readonly cache = new Set<string>();
@@ -10,12 +10,12 @@
     private readonly cacheChats: number,
   ) {}
 
-  /** Whether the chat's prefix is warm. */
-  holds(chat: string): boolean {
+  /** Whether the chat's prefix is cached. */
+  hasCached(chat: string): boolean {
     return this.cache.has(chat);
   }
 
-  /** Starts a call. Returns whether the chat's prefix was warm. */
+  /** Starts a call and caches the chat's prefix. Returns whether it was cached before. */
   start(chat: string): boolean {
     this.inFlight += 1;
     const wasWarm = this.cache.delete(chat);
@@ -29,7 +29,7 @@
     this.inFlight -= 1;
   }
 
-  /** Loses everything, as a restarted engine does. */
+  /** Drops the cache and all calls, as a restart does. */
   restart(): void {
     this.cache.clear();
     this.inFlight = 0;
--- a/packages/measure/src/slopes.ts
+++ b/packages/measure/src/slopes.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `npm run slopes`: how bytes, processor time and memory of one box grow with the fleet, on the core that ships.
- * Prints a JSON line for each slope: sizes, values, the fitted line and how well it fits.
+ * `npm run slopes`: measures how frame bytes, processor time and memory of one box grow with the size of the fleet, on the production
+ * core. Prints one JSON line per slope: sizes, values, the fitted line and the error of the fit.
  */
 import type { CoreEvent, Declaration, Effect, RequestHead, World } from '@hazelwalk/core';
 import { createHasher, createWorld, DEFAULT_CORE_SETTINGS, directoryKey, Ok, runTurn } from '@hazelwalk/core';
@@ -71,7 +71,7 @@
   return world;
 }
 
-function time(act: (round: number) => void): number {
+function measureMeanUs(act: (round: number) => void): number {
   for (let round = 0; round < WARM_UP_ROUNDS; round += 1) act(round);
   const startedNs = process.hrtime.bigint();
   for (let round = 0; round < ROUNDS; round += 1) act(WARM_UP_ROUNDS + round);
@@ -80,26 +80,26 @@
 
 function findHeartbeat(effects: readonly Effect[]): Buffer {
   const effect = effects.find(({ type }) => type === 'broadcast');
-  if (effect?.type !== 'broadcast') throw new Error('no heartbeat was due');
+  if (effect?.type !== 'broadcast') throw new Error('the turn sent no heartbeat');
   return encodeFrame(effect.frame);
 }
 
-/** Bytes of one heartbeat, by the endpoints that its sender speaks to. */
+/** Returns the bytes of one heartbeat for a number of endpoints that its sender owns. */
 async function measureHeartbeatBytes(endpoints: number): Promise<number> {
   const world = await createBox(1, endpoints);
   world.boxes.set('peer', { ...[...world.boxes.values()][0]!, id: 'peer' });
   return findHeartbeat(runTurn(world, [{ type: 'tick' }], 2_000)).length;
 }
 
-/** Microseconds of a turn of the timer in which nothing is due, by boxes. */
-async function measureTick(boxes: number): Promise<number> {
+/** Returns the microseconds of a tick in which nothing is due, for a number of boxes. */
+async function measureIdleTick(boxes: number): Promise<number> {
   const world = await createBox(boxes, Math.round(boxes * ENDPOINTS_PER_BOX));
   world.nextHeartbeatMs = Infinity;
-  return time((round) => runTurn(world, [{ type: 'tick' }], round % 100));
+  return measureMeanUs((round) => runTurn(world, [{ type: 'tick' }], round % 100));
 }
 
-/** Microseconds to take in one peer's heartbeat, by boxes. */
-async function measureHeartbeat(boxes: number): Promise<number> {
+/** Returns the microseconds to handle the heartbeat of one peer, for a number of boxes. */
+async function measureHeartbeatHandling(boxes: number): Promise<number> {
   const world = await createBox(boxes, Math.round(boxes * ENDPOINTS_PER_BOX));
   world.nextHeartbeatMs = Infinity;
   const own = [...world.endpoints.values()].filter((row) => row.ownerId === 'box-1');
@@ -113,10 +113,10 @@
     stopping: false,
     platformOk: true,
   } as const;
-  return time((round) => runTurn(world, [{ type: 'frame', from: 'box-1', frame }], round % 100));
+  return measureMeanUs((round) => runTurn(world, [{ type: 'frame', from: 'box-1', frame }], round % 100));
 }
 
-/** Microseconds of the core to place a request, by engines of its model. */
+/** Returns the microseconds to place and complete a request in the core, for a number of engines of its model. */
 async function measurePlacement(engines: number): Promise<number> {
   const world = await createBox(1, engines);
   world.nextHeartbeatMs = Infinity;
@@ -131,7 +131,7 @@
     headers: [],
     streamsBody: false,
   };
-  return time((round) => {
+  return measureMeanUs((round) => {
     const requestId = `r${round}`;
     runTurn(world, [{ type: 'callerRequest', requestId, head: { ...head, chat: `chat-${round % 500}` } }], 1);
     const outcome = { type: 'whole', status: 200 } as const;
@@ -161,7 +161,7 @@
 
 const PARSE_ROUNDS = 10;
 
-/** Milliseconds to check a declared file whole, by teams. */
+/** Returns the milliseconds to parse and validate a declared file, for a number of teams. */
 function measureDeclarationMs(teams: number): number {
   const text = writeDeclaration(teams);
   for (let round = 0; round < PARSE_ROUNDS; round += 1) parseDeclaration(text);
@@ -175,7 +175,7 @@
   return process.memoryUsage().heapUsed;
 }
 
-/** Heap bytes of the directory, by chats, each warm on two engines. */
+/** Returns the heap bytes of the chat directory for a number of chats, each cached on two engines. */
 async function measureDirectoryBytes(chats: number): Promise<number> {
   const world = await createBox(1, 10);
   const before = readHeapBytes();
@@ -185,11 +185,11 @@
     world.directory.recordEngine(key, `engine-000${(index + 1) % 10}`);
   }
   const bytes = readHeapBytes() - before;
-  if (world.directory.size !== chats) throw new Error('the directory forgot chats');
+  if (world.directory.size !== chats) throw new Error('the directory evicted chats during the measurement');
   return bytes;
 }
 
-/** Heap bytes of the keys table, by keys. */
+/** Returns the heap bytes of the table of idempotency keys for a number of keys. */
 async function measureKeyBytes(keys: number): Promise<number> {
   const world = await createBox(1, 10);
   const before = readHeapBytes();
@@ -206,7 +206,7 @@
     });
   }
   const bytes = readHeapBytes() - before;
-  if (world.keys.size !== keys) throw new Error('the table forgot keys');
+  if (world.keys.size !== keys) throw new Error('the key table evicted keys during the measurement');
   return bytes;
 }
 
@@ -224,8 +224,8 @@
     sizes: [1, 2, 5, 10, 20],
     measure: measureHeartbeatBytes,
   },
-  { name: 'idleTurnUs', by: 'boxes', sizes: [10, 20, 40, 80, 120], measure: measureTick },
-  { name: 'heartbeatUs', by: 'boxes', sizes: [10, 20, 40, 80, 120], measure: measureHeartbeat },
+  { name: 'idleTurnUs', by: 'boxes', sizes: [10, 20, 40, 80, 120], measure: measureIdleTick },
+  { name: 'heartbeatUs', by: 'boxes', sizes: [10, 20, 40, 80, 120], measure: measureHeartbeatHandling },
   { name: 'placementUs', by: 'enginesOfModel', sizes: [12, 45, 90, 180, 360], measure: measurePlacement },
   {
     name: 'declarationBytes',
--- a/packages/measure/src/tally.ts
+++ b/packages/measure/src/tally.ts
@@ -1,4 +1,4 @@
-/** What a run is judged by: skew and bound by sample, reuse by turn, control bytes by box. */
+/** Collects the metrics of a run: skew and load bound per sample, cache reuse per turn, control bytes per box. */
 import type { SimulatedEngine } from './simulatedEngine.js';
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
@@ -7,7 +7,7 @@
 
 const RATIO_SCALE = 1_000;
 
-/** One line of results. */
+/** Results of one policy. Quiet teams are all but the one that surges. */
 export interface VariantResult {
   readonly policy: string;
   readonly deployment: string;
@@ -37,7 +37,7 @@
   return build({ highestTrackableValue: 1_000_000, numberOfSignificantValueDigits: 3 });
 }
 
-/** Gathers a run's figures. */
+/** Collects the metrics of a run. */
 export class Tally {
   requests = 0;
   controlBytes = 0;
@@ -55,7 +55,7 @@
 
   constructor(private readonly scenario: Scenario) {}
 
-  /** Takes a sample of the engines in service. */
+  /** Samples the loads of the engines in service. */
   sample(nowMs: number, engines: readonly SimulatedEngine[]): void {
     if (nowMs < this.scenario.warmUpMs || engines.length === 0) return;
     const loads = engines.map((engine) => engine.inFlight);
@@ -68,8 +68,8 @@
     else this.violations += 1;
   }
 
-  /** Notes a turn that reached an engine. */
-  noteStart(nowMs: number, isReturning: boolean, wasWarm: boolean, isQuiet: boolean, waitMs: number): void {
+  /** Records a turn that reached an engine. `isQuiet`: it is of another team than the one that surges. */
+  recordStart(nowMs: number, isReturning: boolean, wasWarm: boolean, isQuiet: boolean, waitMs: number): void {
     if (nowMs < this.scenario.warmUpMs) return;
     this.requests += 1;
     if (isReturning) this.returning += 1;
@@ -79,17 +79,17 @@
     (isSurge ? this.quietWaitsInSurge : this.quietWaits).recordValue(Math.round(waitMs));
   }
 
-  /** Notes a refusal. */
-  noteRefusal(code: string): void {
+  /** Counts a refusal by its code. */
+  recordRefusal(code: string): void {
     this.refusals.set(code, (this.refusals.get(code) ?? 0) + 1);
   }
 
-  /** Share of returning turns that found their prefix warm. */
+  /** Share of returning turns whose prefix was cached at their engine. */
   get reuse(): number {
     return this.warm / Math.max(1, this.returning);
   }
 
-  /** Sums up. */
+  /** Creates the results of the run. */
   summarise(policy: string, reuseOracle: number): VariantResult {
     const seconds = this.scenario.durationMs / 1_000;
     const round = (value: number): number => Math.round(value * 10_000) / 10_000;
--- a/packages/soak/src/ledger.ts
+++ b/packages/soak/src/ledger.ts
@@ -5,6 +5,7 @@
 
 /** How a request ended for its caller. */
 export type CallerOutcome =
+  /** The response arrived completely. */
   | {
       readonly type: 'answer';
       readonly status: number;
--- a/packages/standins/src/demo.ts
+++ b/packages/standins/src/demo.ts
@@ -68,8 +68,8 @@
     headers: { 'hazelwalk-team': team, 'x-request-id': `booking-${index}` },
     body: JSON.stringify({ order: index }),
   });
-  const answer = (await response.json()) as { confirmed?: boolean; runs?: number };
-  if (answer.confirmed === true && answer.runs === 1) tally.bookings += 1;
+  const result = (await response.json()) as { confirmed?: boolean; runs?: number };
+  if (result.confirmed === true && result.runs === 1) tally.bookings += 1;
   else tally.failed += 1;
   showProgress(tally);
 }
--- a/packages/standins/src/platform.ts
+++ b/packages/standins/src/platform.ts
@@ -41,7 +41,7 @@
     const value = { text, etag: String(this.nextEtag++) };
     const apply = (): void => {
       this.values.set(name, value);
-      if (this.mode === 'up') this.answerPendingReads(name, value);
+      if (this.mode === 'up') this.completePendingReads(name, value);
     };
     if (this.lagMs > 0) setTimeout(apply, this.lagMs);
     else apply();
@@ -76,7 +76,7 @@
     this.waiters.delete(pending);
   }
 
-  private answerPendingReads(name: string, value: Value): void {
+  private completePendingReads(name: string, value: Value): void {
     for (const pending of [...this.waiters]) {
       if (pending.name !== name) continue;
       this.removePending(pending);
@@ -97,7 +97,7 @@
     if (mode === 'stale') this.staleValues = new Map(this.values);
     this.mode = mode;
     if (mode === 'down') for (const pending of [...this.waiters]) pending.res.destroy();
-    if (mode === 'up') for (const [name, value] of this.values) this.answerPendingReads(name, value);
+    if (mode === 'up') for (const [name, value] of this.values) this.completePendingReads(name, value);
   }
 }
 
