--- a/packages/measure/src/matrixCell.ts
+++ b/packages/measure/src/matrixCell.ts
@@ -251,7 +251,7 @@
       this.deployment.boxes[0];
     const isEndpointGone = this.fault.includes('endpoint') && !this.isChat;
     if (other === undefined || isEndpointGone) return [];
-    const ask = async (): Promise<boolean> => {
+    const sendChat = async (): Promise<boolean> => {
       const response = await fetch(`http://${other.caller}/v1/chat/completions`, {
         method: 'POST',
         headers: { 'hazelwalk-team': TEAM, 'hazelwalk-chat': `${CHAT}-after` },
@@ -259,7 +259,7 @@
       });
       return (await response.text()).includes('[DONE]');
     };
-    return waitFor(ask, 5_000).then(
+    return waitFor(sendChat, 5_000).then(
       () => [],
       () => ['another caller is not served within 5 s'],
     );
--- a/packages/measure/src/slopes.ts
+++ b/packages/measure/src/slopes.ts
@@ -71,10 +71,10 @@
   return world;
 }
 
-function measureMeanUs(act: (round: number) => void): number {
-  for (let round = 0; round < WARM_UP_ROUNDS; round += 1) act(round);
+function measureMeanUs(action: (round: number) => void): number {
+  for (let round = 0; round < WARM_UP_ROUNDS; round += 1) action(round);
   const startedNs = process.hrtime.bigint();
-  for (let round = 0; round < ROUNDS; round += 1) act(WARM_UP_ROUNDS + round);
+  for (let round = 0; round < ROUNDS; round += 1) action(WARM_UP_ROUNDS + round);
   return Number(process.hrtime.bigint() - startedNs) / NANOSECONDS_PER_MICROSECOND / ROUNDS;
 }
 
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -34,8 +34,8 @@
 const MIN_RECOVERED_SHARE = 0.9;
 /**
  * Load bound: an endpoint has at most `LOAD_FACTOR` times the mean number of requests in flight of its service, plus
- * `LOAD_ALLOWANCE`. In an undisturbed window, a check fails only if at least `MIN_OVER_BOUND_COUNT` requests and more than
- * `MAX_OVER_BOUND_SHARE` of them reached an endpoint over the bound.
+ * `LOAD_ALLOWANCE`. The check fails only if, in an undisturbed window, at least `MIN_OVER_BOUND_COUNT` requests and more than a
+ * share of `MAX_OVER_BOUND_SHARE` of all requests reached an endpoint over the bound.
  */
 const LOAD_FACTOR = 2;
 const LOAD_ALLOWANCE = 3;
--- a/packages/soak/src/faults.ts
+++ b/packages/soak/src/faults.ts
@@ -41,8 +41,8 @@
 /** How long a draining endpoint keeps serving. */
 const DRAINING_MS = 3_500;
 /**
- * How long an endpoint keeps serving that is removed from the list without draining first. Must exceed by three seconds the time
- * for which a box can be cut off from the store.
+ * How long an endpoint keeps serving that is removed from the list without draining first. Must be longer than the longest
+ * disconnection of a box from the store plus three seconds.
  */
 const UNLISTED_MS = 9_000;
 /** How long an endpoint that announces its leaving only in responses stays listed and keeps serving: longer than the drain bound. */
@@ -235,35 +235,35 @@
     return values[Math.floor(this.random() * values.length)] as T;
   }
 
-  private async onRandomBox(act: (box: SoakBox) => Promise<void>): Promise<void> {
+  private async onRandomBox(action: (box: SoakBox) => Promise<void>): Promise<void> {
     const box = this.pick(this.site.boxes);
-    await this.runExclusively(box.name, () => act(box));
+    await this.runExclusively(box.name, () => action(box));
   }
 
-  private async onRandomEndpoint(act: (endpoint: SoakEndpoint) => Promise<void>): Promise<void> {
+  private async onRandomEndpoint(action: (endpoint: SoakEndpoint) => Promise<void>): Promise<void> {
     const endpoint = this.pick([...this.site.endpoints.values()].filter((candidate) => !candidate.isLeaving));
-    await this.runExclusively(endpoint.id, () => act(endpoint));
+    await this.runExclusively(endpoint.id, () => action(endpoint));
   }
 
   /** Runs the action unless the entity already has an active fault. */
-  private async runExclusively(entity: string, act: () => Promise<void>): Promise<void> {
+  private async runExclusively(entity: string, action: () => Promise<void>): Promise<void> {
     if (this.faultyEntities.has(entity)) return;
     this.faultyEntities.add(entity);
-    await act();
+    await action();
     this.faultyEntities.delete(entity);
   }
 
   /** Records a disturbance of the entity while the action runs. */
-  private async runAsDisturbance(entity: string, act: () => Promise<void>): Promise<void> {
+  private async runAsDisturbance(entity: string, action: () => Promise<void>): Promise<void> {
     const disturbance = this.ledger.beginDisturbance(entity);
-    await act();
+    await action();
     disturbance.toMs = Date.now();
   }
 
   /** Records a disturbance of a box and an interruption of its process while the action runs. */
-  private async runAsInterruption(box: string, act: () => Promise<void>): Promise<void> {
+  private async runAsInterruption(box: string, action: () => Promise<void>): Promise<void> {
     const interruption = this.ledger.beginInterruption(box);
-    await this.runAsDisturbance(box, act);
+    await this.runAsDisturbance(box, action);
     interruption.toMs = Date.now();
   }
 }
--- a/packages/standins/src/platform.ts
+++ b/packages/standins/src/platform.ts
@@ -25,7 +25,7 @@
 export class PlatformStandin {
   readonly server: Server;
   private readonly values = new Map<string, Value>();
-  private readonly waiters = new Set<PendingRead>();
+  private readonly pendingReads = new Set<PendingRead>();
   private mode: PlatformMode = 'up';
   private staleValues = new Map<string, Value>();
   private lagMs = 0;
@@ -62,7 +62,7 @@
     if (value !== undefined && value.etag !== after) return sendValue(res, value);
     const timer = setTimeout(() => this.endUnchanged(pending), waitMs);
     const pending: PendingRead = { name, res, timer };
-    this.waiters.add(pending);
+    this.pendingReads.add(pending);
     res.on('close', () => this.removePending(pending));
   }
 
@@ -73,11 +73,11 @@
 
   private removePending(pending: PendingRead): void {
     clearTimeout(pending.timer);
-    this.waiters.delete(pending);
+    this.pendingReads.delete(pending);
   }
 
   private completePendingReads(name: string, value: Value): void {
-    for (const pending of [...this.waiters]) {
+    for (const pending of [...this.pendingReads]) {
       if (pending.name !== name) continue;
       this.removePending(pending);
       sendValue(pending.res, value);
@@ -90,13 +90,13 @@
     if (control === 'values' && name !== undefined) this.publish(name, text);
     if (control === 'mode') this.setMode(text as PlatformMode);
     if (control === 'lag') this.lagMs = Number(text);
-    sendJson(res, 200, { calls: this.readCount, waiting: this.waiters.size });
+    sendJson(res, 200, { calls: this.readCount, waiting: this.pendingReads.size });
   }
 
   private setMode(mode: PlatformMode): void {
     if (mode === 'stale') this.staleValues = new Map(this.values);
     this.mode = mode;
-    if (mode === 'down') for (const pending of [...this.waiters]) pending.res.destroy();
+    if (mode === 'down') for (const pending of [...this.pendingReads]) pending.res.destroy();
     if (mode === 'up') for (const [name, value] of this.values) this.completePendingReads(name, value);
   }
 }
--- a/packages/standins/src/timeline.ts
+++ b/packages/standins/src/timeline.ts
@@ -4,7 +4,7 @@
 interface ScheduledAction {
   readonly atMs: number;
   readonly order: number;
-  readonly act: () => void;
+  readonly action: () => void;
 }
 
 /** Runs actions in order of their due times; actions due at the same time run in the order in which they were added. */
@@ -14,20 +14,20 @@
   private nextOrder = 0;
 
   /** Schedules an action for a time. */
-  at(atMs: number, act: () => void): void {
-    this.queue.push({ atMs, order: this.nextOrder++, act });
+  at(atMs: number, action: () => void): void {
+    this.queue.push({ atMs, order: this.nextOrder++, action });
   }
 
   /** Schedules an action after a delay. */
-  after(delayMs: number, act: () => void): void {
-    this.at(this.nowMs + delayMs, act);
+  after(delayMs: number, action: () => void): void {
+    this.at(this.nowMs + delayMs, action);
   }
 
   /** Schedules an action at every interval, without end. */
-  every(intervalMs: number, act: () => void): void {
+  every(intervalMs: number, action: () => void): void {
     this.after(intervalMs, () => {
-      act();
-      this.every(intervalMs, act);
+      action();
+      this.every(intervalMs, action);
     });
   }
 
@@ -40,7 +40,7 @@
     ) {
       this.queue.pop();
       this.nowMs = entry.atMs;
-      entry.act();
+      entry.action();
     }
     this.nowMs = Math.max(this.nowMs, untilMs);
   }
