--- a/packages/router/src/membership/failureDetector.ts
+++ b/packages/router/src/membership/failureDetector.ts
@@ -3,7 +3,7 @@
  * the number of boxes. Each box probes the next few boxes on a ring. If one of them sends no ack, other boxes probe it
  * indirectly, and if they get no ack either, it is reported down to the whole hall. This is SWIM (Das, Gupta, Motivala,
  * 2002) with two extensions of Lifeguard (Dadgar, Phillips, Currey, 2017): a box that was late itself extends the timeouts
- * of the others, and one that receives no acks at all declares no other box down.
+ * of its pending probes, and one that receives no acks at all declares no other box down.
  *
  * Does no I/O and reads no clock: time and frames are passed in, effects are returned.
  */
@@ -23,7 +23,7 @@
 const LATE_TICK_MS = 200;
 /** A box that got no ack for three probe intervals was cut off itself: its probes may never have arrived. */
 const CUT_OFF_MS = 3 * PROBE_INTERVAL_MS;
-/** Indirect probes without an ack are forgotten after this. */
+/** Indirect probes without an ack are forgotten after this: a later ack is of no use to the requester. */
 const INDIRECT_PROBE_TTL_MS = 5_000;
 
 /** A frame that the caller has to send, or a change of a box's state. */
@@ -37,7 +37,7 @@
   /** Other boxes reach the box, this one does not: its link may be dead. */
   | { readonly type: 'reconnectLink'; readonly address: string };
 
-/** What the detector works with. */
+/** Settings and dependencies of the detector. */
 export interface DetectorOptions {
   /** Address of this box, known once its listener is bound. */
   readonly readAddress: () => string;
@@ -181,7 +181,7 @@
     this.pendingProbes.delete(address);
   }
 
-  /** While this box was paused or late it could not read acks, so the timeouts of all pending probes start again. */
+  /** While this box was paused or late it could not read acks, so all pending probes get a new ack timeout. */
   private extendIfLate(nowMs: number): void {
     const sinceTickMs = nowMs - this.tickedAtMs;
     this.tickedAtMs = nowMs;
--- a/packages/router/src/membership/fleetDirectory.ts
+++ b/packages/router/src/membership/fleetDirectory.ts
@@ -2,9 +2,10 @@
  * Directory of the boxes in the fleet, and of those to which this box needs a link.
  *
  * A small fleet is a full mesh: every box links to every other. In a larger fleet a box links to the boxes of its own hall;
- * only its aggregator candidates link to those of the other halls. So the number of links of a box grows with its hall and
- * with the number of halls, not with the fleet. Of another hall the directory keeps the number of boxes and the addresses
- * of the aggregator candidates, as these report them; a hall that is cut off keeps its last reports, with their age.
+ * only the aggregator candidates of a hall link to those of the other halls. So the number of links of a box grows with its
+ * hall and with the number of halls, not with the fleet. Of another hall the directory keeps the number of boxes and the
+ * addresses of the aggregator candidates, as these report them. A hall that is cut off from the others keeps their last
+ * reports, with their age.
  *
  * Does no I/O; the clock is passed in.
  */
@@ -60,7 +61,7 @@
   readonly setAtMs: number;
 }
 
-/** What the directory works with. */
+/** Settings and dependencies of the directory. */
 export interface DirectoryOptions {
   readonly hall: string;
   readonly seeds: readonly string[];
--- a/packages/router/src/membership/hallPosition.ts
+++ b/packages/router/src/membership/hallPosition.ts
@@ -4,7 +4,7 @@
 /**
  * Counts the live boxes of the hall that rank before this one; 0 for the first.
  *
- * @example if (findHallPosition(mesh, 'mixco', rank) === 0) sendAggregate();
+ * @example findHallPosition(mesh, 'mixco', rank) < RELAYS_PER_HALL // whether this box relays reports between halls
  */
 export function findHallPosition(
   mesh: Pick<PeerMesh, 'address' | 'listReachable'>,
--- a/packages/router/src/quarantine/__tests__/innocentRequests.test.ts
+++ b/packages/router/src/quarantine/__tests__/innocentRequests.test.ts
@@ -61,7 +61,7 @@
     this.timeline.every(TICK_MS, () => this.quarantine.tick());
   }
 
-  /** Sends distinct innocent requests all day. */
+  /** Sends distinct innocent requests until the end of the run. */
   keepSendingInnocent(): void {
     this.timeline.after(drawExponential(this.random, MS_PER_S / INNOCENT_PER_S), () => {
       this.count += 1;
@@ -71,7 +71,7 @@
     });
   }
 
-  /** Sends the same request all day. */
+  /** Sends the same request again and again until the end of the run. */
   keepSending(request: Request, perS: number): void {
     this.timeline.after(drawExponential(this.random, MS_PER_S / perS), () => {
       this.send(request, [], 1);
--- a/packages/router/src/quarantine/quarantineRelay.ts
+++ b/packages/router/src/quarantine/quarantineRelay.ts
@@ -27,7 +27,7 @@
 /** Hops of a report that a relay of another hall sent to the rest of that hall; it goes no further. */
 const HOPS_WITHIN_OTHER_HALLS = 2;
 
-/** What the relay works with. */
+/** Settings, dependencies and callbacks of the relay. */
 export interface QuarantineRelayOptions {
   readonly mesh: Pick<PeerMesh, 'address' | 'isFullMesh' | 'listReachable' | 'sendToEach'>;
   readonly quarantine: Quarantine;
--- a/packages/router/src/quarantine/suspectTable.ts
+++ b/packages/router/src/quarantine/suspectTable.ts
@@ -5,11 +5,11 @@
 import { LRUCache } from 'lru-cache';
 import type { CrashedRun } from './crashedRuns.js';
 
-/** Crashes after which a request has a cache of its own, from which requests with a single crash cannot evict it. */
+/** Crashes after which a request is kept in another cache, from which requests with a single crash cannot evict it. */
 const SEEN_TWICE_CRASHES = 2;
 /** Requests seen in one crash: those in flight during some hundred crashes. The oldest are evicted first. */
 const MAX_SEEN_ONCE = 4_096;
-/** Requests seen in two or more crashes. All three caches together, when full, take a tenth of a box's heap. */
+/** Requests seen in two or more crashes. All three caches, when full, fit into a tenth of a box's heap. */
 const MAX_SEEN_TWICE = 1_024;
 /** Requests in quarantine. */
 const MAX_QUARANTINED = 1_024;
--- a/packages/router/src/systems/coldEndpointLimiter.ts
+++ b/packages/router/src/systems/coldEndpointLimiter.ts
@@ -5,8 +5,8 @@
  * No box counts the requests of all boxes, and a cold endpoint fails before load reports arrive. So the permitted
  * rate is divided in advance: a few boxes of the endpoint's own hall, chosen by rank, may each send a fixed number of
  * requests per window. The ranking includes all boxes seen recently, whether they are up or not: a box that is cut
- * off must not take over the shares of boxes that it no longer sees. Half of the platform's allowance is held back
- * for boxes whose views differ nonetheless, as they do while boxes join.
+ * off must not take over the shares of boxes that it no longer sees. Half of the permitted rate is held back for boxes
+ * whose views differ nonetheless, as they do while boxes join.
  */
 import type { Hasher } from '@hazelwalk/core';
 import type { ColdStart } from '../records.js';
@@ -27,8 +27,8 @@
  */
 const MAX_SHARERS = 4;
 /**
- * Share of the allowance that is given out: even twice as many boxes that consider themselves sharers do not exceed
- * it.
+ * Share of the permitted rate that is given out: even twice as many boxes that consider themselves sharers do not
+ * exceed that rate.
  */
 const GRANTED_SHARE = 0.5;
 /**
--- a/packages/router/src/systems/endpointDirectory.ts
+++ b/packages/router/src/systems/endpointDirectory.ts
@@ -26,8 +26,8 @@
 export interface EndpointDirectoryHandlers {
   readonly onRemoved: (id: string, reason: 'removed' | 'lapsed') => void;
   /**
-   * The entry of an endpoint disappeared, and the endpoint is kept because the entry may only have lapsed. The grace
-   * period is infinite while neither this box nor a peer reads the platform.
+   * The entry of an endpoint disappeared, and the endpoint is kept for `gracePeriodMs` because the entry may only have
+   * lapsed. The grace period is infinite while neither this box nor a peer reads the platform.
    */
   readonly onLapsed: (id: string, gracePeriodMs: number) => void;
 }
--- a/packages/router/src/systems/endpointHealth.ts
+++ b/packages/router/src/systems/endpointHealth.ts
@@ -99,7 +99,7 @@
 export function markReachable(row: EndpointRow, nowMs: number): HealthChange | undefined {
   row.lastResponseAtMs = nowMs;
   if (row.health.type !== 'unreachable') return undefined;
-  // The process that listens now has just started, and its entry may not say so yet.
+  // The process that listens now has just started, and its entry may not show that yet.
   if (row.health.isProcessGone) assumeCold(row, nowMs);
   row.health = { type: 'good' };
   row.consecutiveFailures = 0;
--- a/packages/router/src/systems/loadExchange.ts
+++ b/packages/router/src/systems/loadExchange.ts
@@ -15,7 +15,8 @@
 }
 
 /**
- * Subtracts one part from a sum of loads. Negative results are omitted, since the part may be newer than the sum.
+ * Subtracts one part from a sum of loads. Only positive results are kept: others may be negative, since the part may be
+ * newer than the sum.
  *
  * @example subtractLoads([7, 3, 9, 4], [7, 3, 9, 1]) // [9, 3]
  */
--- a/packages/router/src/systems/placement.ts
+++ b/packages/router/src/systems/placement.ts
@@ -4,8 +4,8 @@
  * A generation goes to the preferred endpoint of its shared prompt: every box ranks the endpoints in the same order
  * by rendezvous hashing, so that a prompt is cached in one place in the whole fleet, even after all boxes have
  * restarted. If the preferred endpoint has no capacity, the request goes to the next one in that order, which is the
- * same for all boxes. An endpoint without the prompt fetches it from a known holder. Requests without a prompt:
- * `plainPlacement.ts`.
+ * same for all boxes. An endpoint without the prompt fetches it from a known or probable holder. Requests without a
+ * prompt: `plainPlacement.ts`.
  */
 import type { Hasher } from '@hazelwalk/core';
 import type { ColdStart, PromptPart } from '../records.js';
@@ -227,7 +227,7 @@
     });
   }
 
-  /** Endpoints to which this box may send another request; its share limits those to cold ones. */
+  /** Endpoints to which this box may send another request; for cold ones, its share of their permitted rate decides. */
   private listAdmitted(
     rows: readonly EndpointRow[],
     coldStart: ColdStart | undefined,
--- a/packages/router/src/systems/promptDemand.ts
+++ b/packages/router/src/systems/promptDemand.ts
@@ -27,7 +27,8 @@
 /** Factor by which falling demand for a prompt decays each period: the prompt cools down in about eight seconds. */
 const COOLING_FACTOR = 0.9;
 /**
- * A hall reports only prompts requested at least this often within a second to the others: most are requested once.
+ * A hall reports to the others only prompts that were requested at least this often within a second: most are
+ * requested once.
  */
 const MIN_REPORTED_COUNT = 2;
 /** Prompts in one list, those in most demand: half a kilobyte. */
