--- a/packages/router/src/systems/feedRole.ts
+++ b/packages/router/src/systems/feedRole.ts
@@ -8,8 +8,9 @@
 const WATCH_ALL_BOXES = 16;
 /**
  * Longest waiting calls of the two watchers of a hall, as shares of the time within which a change has to be in
- * force. The first watcher confirms the current state to its hall. The second one only backs it up, and uses the
- * first interval as soon as the first one is down.
+ * force. Each call ends in a notice to the hall, which confirms the current state if nothing has changed. The first
+ * watcher keeps the hall up to date. The second one only backs it up, and uses the first share as soon as the first
+ * one is down.
  */
 const WAIT_SHARES = [0.3, 0.45] as const;
 /**
--- a/packages/router/src/systems/promptDemand.ts
+++ b/packages/router/src/systems/promptDemand.ts
@@ -79,7 +79,7 @@
   private readonly halls = new RecentReports<PairList>();
   private hot = new Map<number, number>();
 
-  /** Adds the counts of a box of the hall since its last report. */
+  /** Adds the counts of a box since its last report: of a box of the hall or, in a small fleet, of any box. */
   addBoxCounts(counts: PairList): void {
     for (const [prompt, count] of readPairs(counts)) {
       const total = (this.current.get(prompt) ?? 0) + count;
