--- a/packages/router/src/systems/promptDemand.ts
+++ b/packages/router/src/systems/promptDemand.ts
@@ -27,7 +27,8 @@
 /** Factor by which falling demand for a prompt decays each period: the prompt cools down in about eight seconds. */
 const COOLING_FACTOR = 0.9;
 /**
- * A hall reports only prompts requested at least this often within a second to the others: most are requested once.
+ * A hall reports to the others only prompts that were requested at least this often within a second: most are
+ * requested once.
  */
 const MIN_REPORTED_COUNT = 2;
 /** Prompts in one list, those in most demand: half a kilobyte. */
@@ -78,7 +79,7 @@
   private readonly halls = new RecentReports<PairList>();
   private hot = new Map<number, number>();
 
-  /** Adds the counts of a box of the hall since its last report. */
+  /** Adds the counts of a box since its last report: of a box of the hall or, in a small fleet, of any box. */
   addBoxCounts(counts: PairList): void {
     for (const [prompt, count] of readPairs(counts)) {
       const total = (this.current.get(prompt) ?? 0) + count;
