--- a/packages/router/src/fleetRouter.ts
+++ b/packages/router/src/fleetRouter.ts
@@ -237,7 +237,7 @@
     return this.state.isPlatformConnected;
   }
 
-  /** Decides the current role of this box: watch the platform, read a value, or rely on peers. */
+  /** Decides the current role of this box: watch the platform, read the configuration once, or rely on its peers. */
   decideFeedRole(): FeedRole {
     return this.feedRelay.decideRole();
   }
--- a/packages/router/src/observability/healthLog.ts
+++ b/packages/router/src/observability/healthLog.ts
@@ -1,11 +1,14 @@
-/** Logs and counts changes of the health of endpoints and of the state of boxes, as this box sees them. */
+/**
+ * Logs and counts, as this box sees them, changes of the health of endpoints, their announcements, and changes of the
+ * state of boxes.
+ */
 import type { HealthChange } from '../systems/endpointHealth.js';
 import type { EndpointNoticeChange } from '../systems/endpointNotices.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
 import type { DecisionLog } from './decisionLog.js';
 import type { RouterMetrics } from './metrics.js';
 
-/** Log lines and counters of these changes. */
+/** Writes these log lines and updates the counters. */
 export class HealthLog {
   constructor(
     private readonly log: DecisionLog,
--- a/packages/router/src/observability/metrics.ts
+++ b/packages/router/src/observability/metrics.ts
@@ -61,7 +61,7 @@
     'configuration_version',
     'Version of the configuration in force',
   );
-  /** Endpoints that are kept although the platform no longer lists them, because their entries may only have lapsed. */
+  /** Endpoints that are kept although no longer listed: their entries may have expired while they still run. */
   readonly lapsedEndpoints = this.gauge('lapsed_endpoints', 'Endpoints kept although their entry vanished');
   /** Halls that operators have ordered to be evacuated: their endpoints get no new requests. */
   readonly evacuatedHalls = this.gauge('evacuated_halls', 'Halls whose endpoints get nothing new');
--- a/packages/router/src/observability/workMeter.ts
+++ b/packages/router/src/observability/workMeter.ts
@@ -30,7 +30,7 @@
   'timeouts',
 ] as const;
 
-/** A kind of work. */
+/** A kind of work to which processor time is attributed. */
 export type WorkKind = (typeof WORK_KINDS)[number];
 
 /** Processor time of this process since its start, in milliseconds. */
--- a/packages/router/src/peers/feedRelay.ts
+++ b/packages/router/src/peers/feedRelay.ts
@@ -111,7 +111,7 @@
     valueSync.handleNotice(notice);
   }
 
-  /** The configuration change since the last notice, if there is one and it is small enough for all boxes of the hall. */
+  /** The configuration change since the last notice, if there is one and it is small enough to send to the whole hall. */
   private describeSmallChange(): ConfigurationChange | undefined {
     const { state } = this.options;
     if (state.configurationVersion === this.announcedVersion) return undefined;
--- a/packages/router/src/peers/peerFrames.ts
+++ b/packages/router/src/peers/peerFrames.ts
@@ -7,7 +7,10 @@
 import type { PlatformReport } from '../systems/platformConnectivity.js';
 import { configurationChangeSchema, fleetConfigurationSchema } from './configurationSchema.js';
 
-/** Large frames consist mostly of lists of numbers. With `z.array`, zod would check each entry by a schema of its own. */
+/**
+ * Large frames consist mostly of lists of numbers. They are checked as a whole, since `z.array` would check each entry
+ * against a schema, which makes decoding several times slower.
+ */
 const numberList = z.custom<number[]>(
   (value) => Array.isArray(value) && value.every((entry) => Number.isFinite(entry)),
 );
@@ -27,7 +30,7 @@
 /** Platform connectivity of the sender; absent if it neither reads the platform nor gets all changes from a watcher. */
 const platformReport = z
   .object({
-    /** Remaining grace period, in which an entry that disappears may only have lapsed. */
+    /** Remaining grace period: an entry that disappears during it may have expired while its endpoint still runs. */
     doubtMs: z.number().nonnegative(),
     /** Age of the report that the sender received, if it does not read the platform itself. */
     saidAgoMs: z.number().nonnegative(),
@@ -201,7 +204,7 @@
   revision: z.number(),
   /** Era of both revisions. Omitted by earlier versions. */
   era: z.number().default(0),
-  /** Remaining grace period, in which an entry that disappears may only have lapsed. */
+  /** Remaining grace period: an entry that disappears during it may have expired while its endpoint still runs. */
   unsettledMs: z.number(),
   configurationVersion: z.number(),
   /** Approximate size of the complete configuration in characters. */
--- a/packages/router/src/peers/peerLinks.ts
+++ b/packages/router/src/peers/peerLinks.ts
@@ -3,11 +3,11 @@
 import { encodePeerFrame } from './peerFrameCodec.js';
 import type { ConnectionEvents, PeerConnection, PeerTransport } from './peerTransport.js';
 
-/** Interval between attempts to connect to a peer that was seen recently. */
+/** Interval between attempts to connect to a peer that was recently seen by this box or mentioned by another. */
 const REDIAL_MS = 1_000;
 /** The same interval while no link is up: this box may have started a moment before its seeds. */
 const ISOLATED_REDIAL_MS = 200;
-/** Interval for a peer that was not seen recently. A hall that was cut off for long is reconnected within this time. */
+/** Interval for any other peer. A hall that was cut off for long is reconnected within this time. */
 const SLOW_REDIAL_MS = 15_000;
 /** A link is kept at least this long even if it is not needed: needs change while boxes discover each other. */
 const MIN_LINK_AGE_MS = 2_000;
@@ -32,7 +32,7 @@
   /** Called for each received frame; `reply` sends a frame back on the same link. */
   readonly onFrame: (frame: PeerFrame, reply: (frame: PeerFrame) => void) => void;
   readonly onProblem: ConnectionEvents['onProblem'];
-  /** Whether the box at an address was seen recently, so that connecting is retried at the short interval. */
+  /** Whether the box at an address was recently seen or mentioned, so that connecting is retried at the short interval. */
   readonly isLikelyReachable: (address: string) => boolean;
 }
 
--- a/packages/router/src/peers/peerMesh.ts
+++ b/packages/router/src/peers/peerMesh.ts
@@ -246,7 +246,7 @@
     this.sendHallsIfChanged();
   }
 
-  /** Removes the state of boxes that were replaced. A box that returns after that long counts as new. */
+  /** Removes the state of silent peers, such as replaced boxes. One that returns after that long counts as new. */
   private forgetSilent(nowMs: number): void {
     for (const [address, peer] of this.peers) {
       if (nowMs - peer.lastSeenAtMs <= PEER_RETENTION_MS) continue;
@@ -358,7 +358,8 @@
     this.apply(this.detector.recordIncarnation(address, incarnation));
     const downReport = this.detector.findDownReport(address);
     if (downReport !== undefined) reply(downReport);
-    // A restarted peer is reachable before the next attempt to connect, and links to its previous incarnation are dead.
+    // The peer is reachable now, so the next attempt to connect is not awaited. If it has restarted, the link to its
+    // previous incarnation is dead.
     if (incarnation > previousIncarnation) this.links.reconnect(address);
     else this.links.redialNow(address);
   }
--- a/packages/router/src/proxy/attempt.ts
+++ b/packages/router/src/proxy/attempt.ts
@@ -42,7 +42,7 @@
 /**
  * Maps the reason of an unsent attempt to a health signal; undefined if the reason does not concern the endpoint.
  *
- * @example findHealthSign('connectionLimit') // undefined
+ * @example findHealthSignal('connectionLimit') // undefined
  */
 export function findHealthSignal(reason: UnsentReason): HealthSignal | undefined {
   switch (reason) {
--- a/packages/router/src/proxy/callerServer.ts
+++ b/packages/router/src/proxy/callerServer.ts
@@ -17,8 +17,8 @@
 /** The parser refuses request heads larger than this, whatever the configuration allows. */
 const PARSER_MAX_HEADER_BYTES = 65_536;
 /**
- * Idle connections are kept this much longer than the idle timeout that callers know, so that no request meets a
- * close.
+ * Idle connections are kept this much longer than the idle timeout that callers know, so that no request is sent on a
+ * connection that is being closed.
  */
 const IDLE_MARGIN_MS = 3_000;
 /** Interval of the checks for request heads that take too long. */
--- a/packages/router/src/proxy/crashCheck.ts
+++ b/packages/router/src/proxy/crashCheck.ts
@@ -3,9 +3,9 @@
  * a new connection is refused if no process listens any more, while after a fault of the link it succeeds or times
  * out.
  *
- * Two cases are misjudged: a device on the link that refuses connections in place of the endpoints counts as a crash
- * of all endpoints behind it at the same time, and the crash of an endpoint that is back within the round trip of the
- * check is missed.
+ * Two cases are classified wrongly: a device on the link that refuses connections in place of the endpoints counts as a
+ * crash of all endpoints behind it at the same time, and the crash of an endpoint that is back within the round trip of
+ * the check is missed.
  */
 import { isLeaving } from '../systems/endpointNotices.js';
 import type { EndpointRow } from '../tables/endpointTable.js';
@@ -44,7 +44,7 @@
   }
 
   private async connect(row: EndpointRow): Promise<CrashCheckResult> {
-    // It leaves as planned, or its entry has lapsed: its requests did not cause this.
+    // If it leaves as planned, or its entry has lapsed, the end of its process is no evidence against its requests.
     const isEnding = isLeaving(row) || row.isLapsed;
     const reached = await this.connections.check(row);
     if (reached.ok) return 'running';
--- a/packages/router/src/proxy/httpClient.ts
+++ b/packages/router/src/proxy/httpClient.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP client of undici, without the rest of the library: loading all of it takes about a third of the start-up
- * time of a box (0.31 s of processor time before, see docs/MEASUREMENTS.md).
+ * The HTTP client of undici, without the rest of the library. Loading the whole library took about a third of the
+ * start-up time of a box, which was 0.31 s of processor time then (see docs/MEASUREMENTS.md).
  */
 import sendRequest from 'undici/lib/api/api-request.js';
 import UndiciClient from 'undici/lib/dispatcher/client.js';
--- a/packages/router/src/proxy/requestQuarantine.ts
+++ b/packages/router/src/proxy/requestQuarantine.ts
@@ -74,8 +74,8 @@
 
   /**
    * Checks whether an endpoint that broke off the request has crashed, and records the crash. `checked` settles when
-   * the result is known. A request that was in flight during an earlier crash must wait for it; any other may be
-   * retried at once.
+   * the result is known. `mustWait` is set if the request was in flight during an earlier crash: it may be retried only
+   * then, any other request at once.
    */
   handleBroken(attempt: Attempt): { readonly mustWait: boolean; readonly checked: Promise<void> } {
     const { context } = this;
