--- a/packages/router/src/observability/workMeter.ts
+++ b/packages/router/src/observability/workMeter.ts
@@ -16,7 +16,7 @@
 const WORK_KINDS = [
   /** Decoding frames from peers. */
   'frameDecoding',
-  /** Sending and receiving heartbeats, probes and the frames of new links. */
+  /** Sending heartbeats and probes, handling received heartbeats, and maintaining links. */
   'membership',
   /** Sending and receiving loads and prompts. */
   'loads',
