--- a/packages/router/src/observability/workMeter.ts
+++ b/packages/router/src/observability/workMeter.ts
@@ -16,7 +16,7 @@
 const WORK_KINDS = [
   /** Decoding frames from peers. */
   'frameDecoding',
-  /** Sending and receiving heartbeats, probes and the frames of new links. */
+  /** Sending heartbeats and probes, handling received heartbeats, and maintaining links. */
   'membership',
   /** Sending and receiving loads and prompts. */
   'loads',
@@ -30,7 +30,7 @@
   'timeouts',
 ] as const;
 
-/** A kind of work. */
+/** A kind of work to which processor time is attributed. */
 export type WorkKind = (typeof WORK_KINDS)[number];
 
 /** Processor time of this process since its start, in milliseconds. */
