--- a/packages/core/src/coreSettings.ts
+++ b/packages/core/src/coreSettings.ts
@@ -40,7 +40,7 @@
   readonly flapMemoryMs: number;
   /** Consecutive failures after which an endpoint is ejected. */
   readonly ejectAfter: number;
-  /** Duration of the first ejection; doubles with each further one. */
+  /** Duration of the first ejection; doubles with each further one until a call succeeds, at most four times. */
   readonly ejectMs: number;
   /** Largest share of a service's endpoints that may be unusable after an ejection. */
   readonly maxEjectedShare: number;
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -44,7 +44,7 @@
   readonly type: 'answerEnded';
 }
 
-/** The response was shorter or longer than its headers announced. */
+/** The response is incomplete, does not match its announced length, or is too large to be stored for its key. */
 export interface AnswerBrokenEvent {
   readonly type: 'answerBroken';
   readonly requestId: RequestId;
--- a/packages/core/src/frames.ts
+++ b/packages/core/src/frames.ts
@@ -100,7 +100,7 @@
   readonly passed: readonly EndpointId[];
   /**
    * Every candidate was over the bound, computed from a mean that may be stale. The request goes to the least loaded of
-   * them, which computes the bound from the loads of these engines only.
+   * them, whose owner computes the bound from the loads of these engines only.
    */
   readonly isLast: boolean;
   /** Why the previous candidate did not accept it; the code of the refusal if no candidate is left. */
@@ -115,7 +115,10 @@
   readonly endpoint: EndpointId;
 }
 
-/** Sent by an endpoint's owner to the entry box: the request is queued or running at the endpoint. */
+/**
+ * Sent by an endpoint's owner to the entry box: the request is queued or running at the endpoint. The owner of a key also
+ * sends it for a keyed call, with its own box id as `endpoint`.
+ */
 export interface AcceptedFrame extends AttemptRef {
   readonly type: 'accepted';
   readonly endpoint: EndpointId;
@@ -124,7 +127,8 @@
 }
 
 /**
- * Sent to the entry box by the box that handled the attempt: it ended without a response. `ran` holds whether it ran.
+ * Sent to the entry box by the box that handled the attempt, which ended without a complete response. `ran` is `unknown`
+ * unless the request provably did not run.
  */
 export interface RefusedFrame extends AttemptRef {
   readonly type: 'refused';
--- a/packages/core/src/runTurn.ts
+++ b/packages/core/src/runTurn.ts
@@ -119,7 +119,8 @@
 function runSweeps(world: World): void {
   if (world.nowMs < world.nextSweepMs) return;
   world.nextSweepMs = world.nowMs + SWEEP_MS;
-  // Calls first: an endpoint owner's refusal states that the call did not run, the entry box could only say `unknown`.
+  // Calls are swept before requests: the endpoint's owner can report that a queued call did not run, whereas the entry box
+  // could only report `unknown`.
   sweepCalls(world, (entry) => !isReachable(world, entry));
   sweepRequests(world);
   sweepKeys(world);
--- a/packages/core/src/systems/admission.ts
+++ b/packages/core/src/systems/admission.ts
@@ -244,7 +244,7 @@
   return call;
 }
 
-/** Cancels a call. */
+/** Removes a call that its entry box no longer needs; one that is running is also cancelled at the endpoint. */
 export function cancelCall(world: World, key: string): void {
   const call = removeCall(world, key);
   if (call === undefined || call.phase === 'waiting') return;
--- a/packages/core/src/systems/configuration.ts
+++ b/packages/core/src/systems/configuration.ts
@@ -2,7 +2,7 @@
  * Configuration: a published value is accepted as a whole, replaced only by a newer one, and distributed between boxes.
  *
  * A few boxes of each hall watch the platform; the others see a newer version in a peer's heartbeat and request it from
- * that peer. Boxes that cannot reach the platform are skipped in the choice of watchers.
+ * that peer. Boxes that cannot reach the platform are skipped in the choice of watchers, so that others take over.
  */
 import type { HeartbeatFrame, ValueFrame, ValueStamp } from '../frames.js';
 import { rankByRendezvous } from '../hasher.js';
@@ -91,7 +91,10 @@
   world.nextHeartbeatMs = world.nowMs;
 }
 
-/** Records a peer's stamp of a value: the newest version seen, and a newer confirmation of the version in force. */
+/**
+ * Records a peer's stamp of a value if it is the newest seen, and the time of the peer's confirmation unless the peer has
+ * an older version than this box.
+ */
 function recordPeerStamp(world: World, name: ValueName, theirs: ValueStamp, confirmedAtMs: number): void {
   if (isNewer(theirs, world.newestPeerStamps[name])) world.newestPeerStamps[name] = theirs;
   if (isNewer(world.values[name].stamp, theirs)) return;
--- a/packages/core/src/systems/endpointOwnership.ts
+++ b/packages/core/src/systems/endpointOwnership.ts
@@ -69,7 +69,7 @@
   if (world.settings.policy.type !== 'steward') return world.self.boxId;
   const { hasher } = world.deps;
   const hallBoxes = world.live.byHall.get(row.record.hall) ?? [];
-  // If its hall has no live box, any live box may own it.
+  // If its hall has no live box, any live box may own it, provided that it can reach the endpoint; this is not checked.
   const candidates = hallBoxes.length > 0 ? hallBoxes : world.live.all;
   return pickByRendezvous(hasher, row.id, candidates);
 }
--- a/packages/core/src/systems/entry.ts
+++ b/packages/core/src/systems/entry.ts
@@ -248,8 +248,8 @@
 }
 
 /**
- * Handles a response that does not match its announced length: the caller must not take it for complete, and the call
- * is cancelled.
+ * Handles a response that is incomplete, does not match its announced length or is too large to be stored: the caller
+ * must not take it for complete, and the call is cancelled.
  */
 export function handleAnswerBroken(world: World, requestId: string, code: ResultCode): void {
   const row = world.requests.get(requestId);
--- a/packages/core/src/systems/fairness.ts
+++ b/packages/core/src/systems/fairness.ts
@@ -10,7 +10,7 @@
 import type { EndpointRow } from '../tables/endpoints.js';
 import type { World } from '../world.js';
 
-/** A team's limit is divided among the endpoints of a service; the slack allows for their random imbalance. */
+/** A team's limit is divided among the endpoints of a service; this slack is for those that by chance get more calls. */
 const TEAM_LIMIT_SLACK = 1.25;
 /** Weight of a team that is not active yet but may become so at any time; fair shares leave capacity for it. */
 const NEXT_TEAM_WEIGHT = 1;
--- a/packages/core/src/systems/heldKeys.ts
+++ b/packages/core/src/systems/heldKeys.ts
@@ -11,7 +11,10 @@
 
 /** Longest time a request is held. Shorter than the time after which its entry box treats it as lost. */
 const MAX_HOLD_MS = 500;
-/** Shortest interval between calls to the platform; requests that arrive in between are refused immediately. */
+/**
+ * Shortest interval between calls to the platform. Requests that arrive within it are refused immediately once the call
+ * has failed or MAX_HOLD_MS has passed.
+ */
 const CONFIRM_INTERVAL_MS = 1_000;
 
 /** A held request for a key. */
--- a/packages/core/src/systems/keyUncertainty.ts
+++ b/packages/core/src/systems/keyUncertainty.ts
@@ -29,7 +29,7 @@
 /**
  * Returns why this box cannot rely on its lists: one is older than a peer's, or unconfirmed for longer than a lease.
  *
- * @example findListDoubt(world) // { type: 'listUnconfirmed', name: 'boxes', ageMs: 8_120 }
+ * @example findListUncertainty(world) // { type: 'listUnconfirmed', name: 'boxes', ageMs: 8_120 }
  */
 export function findListUncertainty(world: World): KeyUncertainty | undefined {
   for (const name of KEY_OWNERSHIP_VALUES) {
--- a/packages/core/src/systems/load.ts
+++ b/packages/core/src/systems/load.ts
@@ -8,7 +8,8 @@
 
 /**
  * Returns the load of an endpoint: exact if this box owns it, otherwise the load that its owner last reported plus the
- * requests that this box has assigned to it since.
+ * requests that this box has assigned to it since. The baseline policies have no owners and use the endpoint's own last
+ * report, corrected by the calls that this box has started or ended since.
  */
 export function readLoad(world: World, row: EndpointRow): number {
   if (world.settings.policy.type !== 'steward') {
@@ -66,8 +67,8 @@
 /**
  * Computes the largest load of an engine after accepting one more request: its share of the mean times the bound, but
  * at least its share of the mean rounded up, so that some engine always has capacity. The mean counts an engine in slow
- * start in full, as an outside observer would. A stale summary restricts the mean to what this box knows; it never
- * removes the limit.
+ * start in full, as an outside observer would. With a stale summary the mean covers only the loads known to this box; the
+ * limit still applies.
  *
  * @example computeBoundCap(world, model, row, { load: 23, count: 12, shares: 12 }) // ceil(24 / 12) = 2
  */
--- a/packages/core/src/systems/membership.ts
+++ b/packages/core/src/systems/membership.ts
@@ -65,7 +65,7 @@
   return row.listed && row.record.state === 'live' && !row.stopping && isWithinLease;
 }
 
-/** Whether a box is alive, even if it is stopping or unlisted; its running calls continue while it is. */
+/** Whether a box is alive, even if it is stopping or unlisted. Its running calls continue as long as it is alive. */
 export function isReachable(world: World, boxId: BoxId): boolean {
   if (boxId === world.self.boxId) return true;
   const row = world.boxes.get(boxId);
--- a/packages/core/src/tables/requests.ts
+++ b/packages/core/src/tables/requests.ts
@@ -18,7 +18,7 @@
   placedMs: number;
   /** When the next attempt starts, while backing off. */
   retryAtMs: number;
-  /** The box that the attempt was sent to; once accepted, the endpoint's owner. */
+  /** The box that the attempt was sent to; once accepted, the owner of the endpoint or of the key that accepted it. */
   targetBox: BoxId | undefined;
   endpointId: EndpointId | undefined;
   /** Whether part of the response was sent to the caller. */
--- a/packages/daemon/src/__tests__/failures.test.ts
+++ b/packages/daemon/src/__tests__/failures.test.ts
@@ -1,5 +1,5 @@
 /**
- * Failures of real processes: killed and paused boxes, a platform that is down. What endpoints counted shows which calls ran.
+ * Failures of real processes: killed and paused boxes, a platform that is down. The run counts of the endpoints show which calls ran.
  */
 import { Deployment, waitFor } from '@hazelwalk/standins';
 import type { BoxHandle, EndpointHandle } from '@hazelwalk/standins';
--- a/packages/daemon/src/adapters/exchange.ts
+++ b/packages/daemon/src/adapters/exchange.ts
@@ -35,7 +35,7 @@
 
 interface Binding {
   readonly ref: AttemptRef;
-  /** The box that owns the endpoint. */
+  /** The box that accepted the request: the owner of the endpoint or, for a keyed call, of the key. */
   readonly ownerId: BoxId;
   readonly endpointId: EndpointId;
   readonly response: StreamReceiver;
--- a/packages/daemon/src/adapters/peerLinks.ts
+++ b/packages/daemon/src/adapters/peerLinks.ts
@@ -85,7 +85,7 @@
     for (const record of records) this.openLink(record);
   }
 
-  /** Sends a frame. It is lost if the link is down, of which a `peerDown` event informs the core. */
+  /** Sends a frame. It is lost if the link is down; the core gets a `peerDown` event when a link breaks. */
   send(to: BoxId, frame: Frame): void {
     this.write(to, encodeFrame(frame), isControlTraffic(frame));
   }
--- a/packages/daemon/src/box.ts
+++ b/packages/daemon/src/box.ts
@@ -142,7 +142,10 @@
     return readBoxStatus(this.world, this.metrics, this.peers.bytes, this.control.bytes);
   }
 
-  /** Connecting is enough: a seed that gets the hello frame connects back, and the core then requests the values it holds. */
+  /**
+   * Connecting is enough: a seed that gets the hello frame connects back, and the core requests the values that the seed's
+   * heartbeats announce.
+   */
   private connectToSeeds(): void {
     const seeds = this.settings.seedAddresses.filter((address) => address !== this.settings.peerAddress);
     if (seeds.length === 0) return;
