--- a/packages/router/src/__fixtures__/passiveBox.ts
+++ b/packages/router/src/__fixtures__/passiveBox.ts
@@ -16,7 +16,8 @@
 /** Time in which a change of the platform has to be in force. */
 export const APPLY_BOUND_MS = 3_000;
 /**
- * Longer than the grace period after the platform's first response, during which a box keeps entries that disappear as lapsed.
+ * Longer than the grace period after the platform's first response. Until its end, a box keeps endpoints whose entries
+ * disappear, as the entries may only have lapsed; after it, the box removes such endpoints.
  */
 const AFTER_GRACE_PERIOD_MS = 2_100;
 /** Address of the watcher that sends notices to the box. */
--- a/packages/router/src/__fixtures__/relayBox.ts
+++ b/packages/router/src/__fixtures__/relayBox.ts
@@ -17,7 +17,7 @@
 export const createLoadHeartbeat = (address: string, hall: string, requests: number): Heartbeat =>
   createHeartbeat(address, { hall, loads: requests === 0 ? [] : [ENDPOINT_TAG, requests] });
 
-/** A box of the hall `mixco` in a fleet of two halls; its rank is its numeric address. */
+/** A box of the hall `mixco` in a fleet of two halls. Boxes rank in the order of their numeric addresses. */
 export class TestBox {
   nowMs = 10_000;
   peers: Heartbeat[] = [];
@@ -57,7 +57,7 @@
     });
   }
 
-  /** Requests of other boxes at the endpoint, as the box knows them; -1 if the endpoint is not in the table. */
+  /** Requests of other boxes at the endpoint by the loads received from them; -1 if the endpoint is not in the table. */
   get peersInFlight(): number {
     return this.table.byId.get(endpoint.id)?.peersInFlight ?? -1;
   }
--- a/packages/router/src/__fixtures__/virtualTraffic.ts
+++ b/packages/router/src/__fixtures__/virtualTraffic.ts
@@ -160,7 +160,7 @@
     this.updateEachRouter((router, nowMs) => router.evacuations.apply({ type: 'ordered', hall }, nowMs));
   }
 
-  /** Revokes the evacuation of a hall, whose endpoints are cold from then on. */
+  /** Revokes the evacuation of a hall and makes its endpoints cold. */
   revokeEvacuation(hall: string): void {
     for (const [id, { listing }] of this.endpoints)
       if (listing.hall === hall) this.makeCold(id, CHANGE_DELAY);
--- a/packages/router/src/__tests__/coldSharing.test.ts
+++ b/packages/router/src/__tests__/coldSharing.test.ts
@@ -22,7 +22,7 @@
   return { table, rows };
 }
 
-/** Creates the limiters of boxes of the hall `a`, each of which knows all the others. */
+/** Creates the limiters of boxes of the hall `a`, each with all the others as its peers. */
 function createBoxes(count: number): ColdEndpointLimiter[] {
   const addresses = Array.from({ length: count }, (_, at) => `10.0.0.${at}:1`);
   return addresses.map((address) =>
@@ -123,7 +123,7 @@
     if (gone === undefined || partitioned === undefined) throw new Error('no endpoints');
     recordHealthSignal(table, gone, 'connectRefused', 1_000);
     recordHealthSignal(table, partitioned, 'connectTimedOut', 1_000);
-    // A machine that boots does not respond.
+    // While the machine restarts, connections to it time out.
     recordHealthSignal(table, gone, 'connectTimedOut', 1_500);
     markReachable(gone, 2_000);
     markReachable(partitioned, 2_000);
--- a/packages/router/src/__tests__/emptiedHalls.test.ts
+++ b/packages/router/src/__tests__/emptiedHalls.test.ts
@@ -1,11 +1,11 @@
 /**
  * Guards against exceeding the load bound in the remaining halls while others are evacuated and nothing is faulty.
  *
- * Requests that move to the remaining halls arrive at random times and last as long as loads are old, so no box knows which
- * endpoints are full at the moment. If one of four halls is evacuated, the mean load of the remaining endpoints is a third
- * higher and 3% to 5% of the requests are over the bound; if two are, the mean is twice as high and one request in seven is.
- * In a run with two halls evacuated at once 283 of 2,639 requests were over the bound. A lower cap makes it worse, because
- * boxes divert their requests at the same time; without a cap it is hardly better.
+ * Requests that move to the remaining halls arrive at random times, and a load report is already as old as a request lasts,
+ * so no box can detect which endpoints are full at the moment. If one of four halls is evacuated, the mean load of the
+ * remaining endpoints is a third higher and 3% to 5% of the requests are over the bound; if two are, the mean is twice as
+ * high and one request in seven is. In a run with two halls evacuated at once 283 of 2,639 requests were over the bound. A
+ * lower load cap makes it worse, because boxes divert their requests at the same time; without a cap it is hardly better.
  *
  * Simulates whole fleets in virtual time. The endpoints count the requests that they actually have in flight; the mean
  * includes the endpoints of evacuated halls.
--- a/packages/router/src/__tests__/loadBound.test.ts
+++ b/packages/router/src/__tests__/loadBound.test.ts
@@ -3,8 +3,8 @@
  *
  * Loads reach a box as aggregates that are half a second old, sometimes a second. If all boxes choose the endpoint that looks
  * best in the same outdated aggregate, calls without a prompt all go to the endpoint that appeared idle, and a popular prompt
- * fills one endpoint after another. In a fleet of 87 real boxes more than 3% of the requests in windows of five seconds were
- * over the bound; in this simulation it was 6% to 15% before calls were spread.
+ * fills one endpoint after another. In a fleet of 87 real boxes, more than 3% of the requests were over the bound in some
+ * windows of five seconds, although no endpoint was faulty. In this simulation it was 6% to 15% before calls were spread.
  *
  * Simulates whole fleets in virtual time, in which the endpoints count the requests that they actually have in flight.
  */
--- a/packages/router/src/__tests__/peerFrames.test.ts
+++ b/packages/router/src/__tests__/peerFrames.test.ts
@@ -9,7 +9,7 @@
   return frames.ok ? frames.val[0] : undefined;
 }
 
-/** Encodes a frame like a box of a version that does not know numeric field keys. */
+/** Encodes a frame like a box of a version without numeric field keys. */
 function encodePlain(frame: object): Buffer {
   const payload = new Encoder({ useRecords: false, tagUint8Array: false }).encode(frame);
   const length = Buffer.alloc(4);
--- a/packages/router/src/__tests__/peerMesh.test.ts
+++ b/packages/router/src/__tests__/peerMesh.test.ts
@@ -111,7 +111,7 @@
   const others = await Promise.all([startMesh([seed.address]), startMesh([seed.address])]);
   const allMeshes = [seed, ...others];
   await waitUntil(() => allMeshes.every((mesh) => mesh.countBoxes() === 3));
-  // A box counts as soon as it has responded; its loads arrive with its own heartbeat.
+  // A box is counted as soon as it has responded; its loads arrive only with its own heartbeat.
   await waitUntil(() => allMeshes.every((mesh) => mesh.listRecentlySeen().length === 2));
   expect(others[0]?.listRecentlySeen().map((peer) => peer.heartbeat.loads)).toEqual([
     [4_000_000_000, 2],
