--- a/packages/measure/src/matrixCell.ts
+++ b/packages/measure/src/matrixCell.ts
@@ -16,10 +16,10 @@
   'booking running',
   'booking answered',
 ] as const;
-/** One step. */
+/** One of `STEPS`. */
 export type Step = (typeof STEPS)[number];
 
-/** Faults to inject, named as in the page. The steward in these names is the box that owns the endpoint. */
+/** Faults to inject, named as in the fault matrix. The steward in these names is the box that owns the endpoint of the request. */
 export const FAULTS = [
   'kill entry',
   'kill steward',
@@ -35,7 +35,7 @@
   'cut of a box',
   'hall cut',
 ] as const;
-/** One fault. */
+/** One of `FAULTS`. */
 export type Fault = (typeof FAULTS)[number];
 
 /** Result of a cell. */
@@ -244,7 +244,7 @@
     return reasons;
   }
 
-  /** Checks that another caller is served at another box within five seconds after the fault. */
+  /** Checks that another caller is served at another box within five seconds after the request of the cell has ended. */
   private async checkOthers(): Promise<string[]> {
     const other =
       this.deployment.boxes.find((box) => box !== this.entry && box !== this.owner) ??
--- a/packages/measure/src/processMeasure.ts
+++ b/packages/measure/src/processMeasure.ts
@@ -32,7 +32,10 @@
   readonly requestsPerCpuSecond: number;
   readonly requestsPerCpuSecondPassThrough: number;
   readonly controlBytesPerSecondPerBox: number;
-  /** Number of incomplete responses by error code, or by status if the response has no code. */
+  /**
+   * Number of incomplete responses by error code, or by status if the response has no code. If a code occurs in both loads through
+   * the boxes, only its number in the processor time load is kept.
+   */
   readonly refusals: Readonly<Record<string, number>>;
 }
 
--- a/packages/measure/src/scenario.ts
+++ b/packages/measure/src/scenario.ts
@@ -148,7 +148,7 @@
   readonly type: 'join' | 'leaving' | 'remove';
 }
 
-/** Engines that join, leave and flap. */
+/** Changes of the endpoint list during the trace: engines join, leave and flap. */
 export const CHURN: readonly Churn[] = [
   { atMs: 90_000, engine: 13, type: 'join' },
   { atMs: 130_000, engine: 3, type: 'leaving' },
--- a/packages/measure/src/simulatedEngine.ts
+++ b/packages/measure/src/simulatedEngine.ts
@@ -1,6 +1,6 @@
 /** A simulated engine for runs of the core: requests in flight and a prefix cache of limited size. */
 
-/** A model engine without a process; the caller ends its calls at the virtual time that it chooses. */
+/** A model engine without a process or a clock of its own; the run starts and ends its calls at virtual times. */
 export class SimulatedEngine {
   inFlight = 0;
   private readonly cache = new Set<string>();
--- a/packages/measure/src/slopes.ts
+++ b/packages/measure/src/slopes.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `npm run slopes`: measures how frame bytes, processor time and memory of one box grow with the size of the fleet, on the production
- * core. Prints one JSON line per slope: sizes, values, the fitted line and the error of the fit.
+ * `npm run slopes`: measures how bytes, processor time and memory of one box grow with the number of boxes, endpoints, teams, chats
+ * and keys, on the production core. Prints one JSON line per slope: sizes, values, the fitted line and the error of the fit.
  */
 import type { CoreEvent, Declaration, Effect, RequestHead, World } from '@hazelwalk/core';
 import { createHasher, createWorld, DEFAULT_CORE_SETTINGS, directoryKey, Ok, runTurn } from '@hazelwalk/core';
--- a/packages/measure/src/tally.ts
+++ b/packages/measure/src/tally.ts
@@ -68,7 +68,7 @@
     else this.violations += 1;
   }
 
-  /** Records a turn that reached an engine. `isQuiet`: it is of another team than the one that surges. */
+  /** Records a turn that reached an engine. `isQuiet` is true for all teams but the one that surges. */
   recordStart(nowMs: number, isReturning: boolean, wasWarm: boolean, isQuiet: boolean, waitMs: number): void {
     if (nowMs < this.scenario.warmUpMs) return;
     this.requests += 1;
--- a/packages/soak/src/callers.ts
+++ b/packages/soak/src/callers.ts
@@ -14,7 +14,7 @@
 }
 
 const DEADLINE_MS = 4_000;
-/** How long a caller waits beyond its deadline, so that late responses are recorded: the box kept those requests too long. */
+/** How long a caller waits beyond its deadline. A response in this time shows that the box kept the request too long. */
 const RESPONSE_GRACE_MS = 2_000;
 const MAX_THINK_MS = 40;
 /** Shares of the routes; they add up to one. */
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -248,8 +248,8 @@
 }
 
 /**
- * Whether the box and the store had been free of faults for the settle time by then. Earlier faults do not matter: once reconnected,
- * the box must have caught up on every change that it missed.
+ * Whether the box and the store had been free of faults for the settle time plus the tolerance by then. Earlier faults do not
+ * matter: once reconnected, the box must have caught up on every change that it missed.
  */
 function hadReconnected(ledger: Ledger, box: string, atMs: number): boolean {
   const settleMs = SETTLE_MS + TOLERANCE_MS;
--- a/packages/soak/src/faults.ts
+++ b/packages/soak/src/faults.ts
@@ -41,7 +41,7 @@
 /** How long a draining endpoint keeps serving. */
 const DRAINING_MS = 3_500;
 /**
- * How long an endpoint keeps serving that is removed from the list without draining first. Must be longer than the longest
+ * How long an endpoint that is removed from the list without draining first keeps serving. Must be longer than the longest
  * disconnection of a box from the store plus three seconds.
  */
 const UNLISTED_MS = 9_000;
--- a/packages/soak/src/ledger.ts
+++ b/packages/soak/src/ledger.ts
@@ -36,7 +36,7 @@
   readonly endpoint: string;
   readonly atMs: number;
   readonly service: string;
-  /** Number of listed endpoints of the service when the run started. */
+  /** Number of endpoints of the service that were not leaving when the run started. */
   readonly listed: number;
   /** Whether the response announced that the endpoint is about to leave. */
   readonly isLeaving: boolean;
--- a/packages/soak/src/site.ts
+++ b/packages/soak/src/site.ts
@@ -1,4 +1,7 @@
-/** A site of real processes on loopback: boxes, endpoints and a store, connected by links that can fail. */
+/**
+ * A site of boxes and endpoints as real processes on loopback, and a store in this process. Links that can fail connect each box to
+ * the store and the boxes to each endpoint; boxes reach each other directly.
+ */
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
--- a/packages/standins/src/engine.ts
+++ b/packages/standins/src/engine.ts
@@ -24,7 +24,10 @@
 interface ChatBody {
   readonly stream?: boolean;
   readonly messages?: readonly { readonly content?: string }[];
-  /** Only the stand-in knows this field: which fault to simulate in this response. */
+  /**
+   * Extension of the stand-in for tests: the fault to simulate. `break` closes the connection in the middle of the stream, `noEnd`
+   * omits the final `[DONE]` event, `never` sends no response.
+   */
   readonly fault?: 'break' | 'noEnd' | 'never';
   readonly tokens?: number;
 }
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Starts deployments of boxes and stand-ins, and the helpers for seeded and virtual-time runs. */
+/** Launcher for deployments of boxes and stand-ins, and helpers for seeded and virtual-time runs. */
 export * from './childProcess.js';
 export * from './deployment.js';
 export { pause } from './httpTools.js';
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs dependencies, builds, and runs the demo: an example deployment on loopback, chosen with
+# Installs missing dependencies, builds, and runs the demo: the deployment of one of the two users on loopback, chosen with
 # `--deployment lavanda|granja`.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/spec/contact.pml
+++ b/spec/contact.pml
@@ -1,21 +1,21 @@
 /*
- * Which missing entries count as removed, on a box that cannot read the platform: distinguishes an outage of the platform,
+ * Removal of missing entries on a box that cannot read the platform: the box must distinguish an outage of the platform,
  * in which entries of live endpoints lapse, from an endpoint that leaves.
  *
  * Time advances in rounds of one second. There are three boxes. Boxes 0 and 1 are in the same hall, in which a box that
- * reads the platform sends every update to the other one. Otherwise a box confirms that the receiver is up to date, or
- * sends the whole list if its own is newer. Any report may be lost. The connection of a box to the platform may be cut
- * and restored, and the platform may be down once. In an outage of three rounds or more the entry of a live endpoint may
- * lapse; it is listed again within two rounds of the platform's return. The endpoint may leave once and goes on serving:
- * its entry is removed, or turns out to be missing when the platform returns.
+ * reads the platform sends every update to the other one. All other reports confirm that the receiver is up to date, or
+ * contain the whole list if that of the sender is newer. Any report may be lost. The connection of a box to the platform
+ * may be cut and restored, and the platform may be down once. In an outage of three rounds or more the entry of a live
+ * endpoint may lapse; it is listed again within two rounds of the platform's return. The endpoint may leave once and goes
+ * on serving: its entry is removed, or turns out to be missing when the platform returns.
  *
  * Properties: no box drops a live endpoint; a box that was connected in each of the last four rounds, by a read of its own
  * or by a report in each of them, does not keep an endpoint that has left; and no box counts as connected unless some box
  * has read the platform in the last few rounds.
  *
  * Broken variants, each of which must be refuted: -DOWN_CALLS (the platform counts as down while the box's own calls fail),
- * -DNO_DOUBT (after an outage a missing entry counts as removed at once), -DHEARSAY (a box that has only been confirmed
- * by a peer confirms others),
+ * -DNO_DOUBT (after an outage a missing entry counts as removed at once),
+ * -DHEARSAY (a box that has only been confirmed by a peer confirms others),
  * -DLAPSED_AS_LISTED (a list sent to a peer does not mark the endpoints that are kept although their entries are missing),
  * -DTAKE_OLD_WORD (a report from before the end of the grace period proves that an endpoint missing from it has left),
  * -DPASS_OWN_DOUBT (a box that receives updates relays the grace period of its own isolation).
@@ -27,8 +27,8 @@
 #define RELIST_ROUNDS 2
 #define MAX_CUT_CHANGES 2
 #define REMOVAL_ROUNDS 4
-/* Most rounds since the last read while a box counts as connected: a read is relayed only once, in the round in which it
-   was made or while its report is valid. */
+/* Greatest number of rounds since any box read the platform for which a box may still count as connected: a read is relayed
+   only once, in the round in which it was made or while its report is valid. */
 #define MAX_ROUNDS_SINCE_READ 5
 
 bool isPlatformUp = true;
@@ -44,16 +44,16 @@
 bool isCutOff[BOXES];
 bool isReading[BOXES] = true;
 byte gracePeriod[BOXES];       /* rounds for which a missing entry may only have lapsed */
-byte ownGracePeriod[BOXES];    /* the grace period when the box resumed reading the platform: reported to others */
+byte ownGracePeriod[BOXES];    /* rest of the grace period that the box had when it resumed reading: reported to others */
 byte revision[BOXES];
 bool hasEndpoint[BOXES] = true;
 bool isLapsed[BOXES];          /* whether the endpoint is kept although its entry is missing */
 byte roundsSinceGrace[BOXES];  /* rounds since the end of the grace period */
-byte informedRounds[BOXES];    /* consecutive rounds in which the box was informed, since the endpoint left */
+byte informedRounds[BOXES];    /* consecutive rounds, since the endpoint left, in which the box was informed and the platform up */
 bool isInformed[BOXES];        /* whether the box read the platform or received a report in this round */
 /* Rounds for which a report of box a remains valid at box b, at index a * BOXES + b. */
 byte confirmationTtl[9];       /* of a report that b is up to date */
-byte updateTtl[9];             /* of a report with every update */
+byte updateTtl[9];             /* of a report by a box of the same hall that reads the platform, which sends every update */
 byte reportedGracePeriod[BOXES];  /* grace period received with updates, which the box relays in place of its own */
 
 #define IS_CONFIRMED(b) (confirmationTtl[b] > 0 || confirmationTtl[BOXES + b] > 0 || confirmationTtl[2 * BOXES + b] > 0)
--- a/spec/keys.pml
+++ b/spec/keys.pml
@@ -152,7 +152,7 @@
     :: box[1].clockOffset = 2 * CLOCK_ERROR
     fi;
     select(keyTime : 0 .. TMAX + SKEW + 2 * CLOCK_ERROR);
-    /* The first owner has owned the key for long enough. */
+    /* The first ownership began so early that the key is newer by the margin. */
     box[0].isOwner = true; box[0].isKeyNewer = true; box[0].leaseLeft = LEASE + 1
   }
 loop:
--- a/spec/membership.pml
+++ b/spec/membership.pml
@@ -4,8 +4,8 @@
  * One box, the suspect, may lose its links in one or both directions, end and restart. Its clock may have been set back, so
  * that a new incarnation may have any number. Two monitors in its hall may find at any time that it does not respond, as
  * often as the model allows, and report this to each other. All three send on links that preserve order; messages to a box
- * that is not running are lost. Finally all links work and the suspect runs: it sends heartbeats until no
- * monitor responds with a down report.
+ * that is not running are lost. Finally all links work and the suspect runs: it sends heartbeats until no monitor responds
+ * with a down report.
  *
  * Properties: a monitor never counts the suspect as down because of a report about an incarnation older than the newest one
  * that it knows; and finally both monitors count the suspect as up.
